--- a/benchmarks/cp_limits.bench.cpp
+++ b/benchmarks/cp_limits.bench.cpp
@@ -18,7 +18,7 @@
 
 using namespace cardamompost;
 
-constexpr LimitPrecision precision {Milliseconds(5000), 0.1, 20};
+constexpr LimitTolerance tolerance {Milliseconds(5000), 0.1, 20};
 constexpr TimePoint start {std::chrono::hours(1)};
 constexpr Milliseconds warmUp {10'000};
 
@@ -53,7 +53,7 @@
 class Counted : public Way
 {
 public:
-    Counted(RequestLimit limit, LimitPrecision exactness)
+    Counted(RequestLimit limit, LimitTolerance exactness)
         : limiter_(exactness)
     {
         Account account;
@@ -64,8 +64,8 @@
     Answer ask(std::size_t /*entry*/, bool beginsProgram, TimePoint now) override
     {
         countMessage();
-        const RequestLimiter::Verdict verdict = limiter_.admit({"a", std::to_string(++id_), beginsProgram}, now);
-        return {verdict.isAdmitted, verdict.delay};
+        const RequestLimiter::Decision decision = limiter_.admit({"a", std::to_string(++id_), beginsProgram}, now);
+        return {decision.isAdmitted, decision.delay};
     }
 
 private:
@@ -208,11 +208,11 @@
         const Answer answer = way_.ask(random_() % entries_, isFirst, now);
         if (answer.isAdmitted) {
             sent_.push_back(now + answer.delay);
-            while (sent_.front() + precision.window <= now) {
+            while (sent_.front() + tolerance.window <= now) {
                 sent_.pop_front();
             }
             const double allowed
-                = (limit_.perSecond * 5 + limit_.burst) * (1 + precision.overShare) + precision.overRequests;
+                = (limit_.perSecond * 5 + limit_.burst) * (1 + tolerance.excessShare) + tolerance.excessRequests;
             result_.worstExcess = std::max(result_.worstExcess, static_cast<double>(sent_.size()) - allowed);
         }
         return answer.isAdmitted;
@@ -249,10 +249,10 @@
 std::unique_ptr<Way> makeWay(std::string_view name, RequestLimit limit, std::size_t entries)
 {
     if (name == "counted, window") {
-        return std::make_unique<Counted>(limit, precision);
+        return std::make_unique<Counted>(limit, tolerance);
     }
     if (name == "counted, bucket") {
-        return std::make_unique<Counted>(limit, LimitPrecision {});
+        return std::make_unique<Counted>(limit, LimitTolerance {});
     }
     if (name == "lent") {
         return std::make_unique<Lent>(limit, entries);
--- a/fuzzing/fuzz_platform.cpp
+++ b/fuzzing/fuzz_platform.cpp
@@ -1,4 +1,4 @@
-#include "platform/cp_platform_dialect.hpp"
+#include "platform/cp_platform_adapter.hpp"
 
 #include <cstdint>
 #include <cstdlib>
@@ -8,16 +8,16 @@
 // Whatever the platform's list or an operator sends: it is read or refused, and what is read can be used.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
-    const PlatformDialect dialect;
+    const PlatformAdapter adapter;
     const std::string_view bytes(reinterpret_cast<const char *>(data), size);
-    if (const auto page = dialect.readBackends(bytes)) {
+    if (const auto page = adapter.readBackends(bytes)) {
         for (const BackendServer &server : page.value().servers) {
             if (server.id.empty() || server.service.empty() || server.slots == 0) {
                 std::abort();
             }
         }
     }
-    if (const auto document = dialect.readDocument(bytes)) {
+    if (const auto document = adapter.readDocument(bytes)) {
         static_cast<void>(checkRouteDocument(document.value()));
     }
     return 0;
--- a/include/cardamompost/accounts/cp_scoped_id.hpp
+++ b/include/cardamompost/accounts/cp_scoped_id.hpp
@@ -26,7 +26,7 @@
 }
 
 //! The id as the caller sent it.
-[[nodiscard]] inline std::string_view bareId(std::string_view scoped)
+[[nodiscard]] inline std::string_view unscopedId(std::string_view scoped)
 {
     const std::size_t at = scoped.find(scopeSeparator);
     return at == std::string_view::npos ? scoped : scoped.substr(at + 1);
--- a/include/cardamompost/consensus/cp_log_cut.hpp
+++ b/include/cardamompost/consensus/cp_compaction_policy.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_LOG_CUT_HPP_INCLUDED
-#define CARDAMOMPOST_CP_LOG_CUT_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_COMPACTION_POLICY_HPP_INCLUDED
+#define CARDAMOMPOST_CP_COMPACTION_POLICY_HPP_INCLUDED
 
 #include <algorithm>
 #include <cstddef>
@@ -8,13 +8,13 @@
 {
 
 //! What decides when a member replaces its log by a snapshot.
-struct LogCut {
+struct CompactionPolicy {
     //! Of the entries that are applied and not yet in a snapshot.
     std::size_t bytesSinceSnapshot = 0;
     //! Of the last snapshot.
     std::size_t snapshotBytes = 0;
     //! This member leads, and a learner does not hold all that is committed.
-    bool hasLearnerBehind = false;
+    bool hasLaggingLearner = false;
     //! 0 to 7, another one at each member by chance.
     unsigned turn = 0;
 
@@ -34,10 +34,10 @@
     [[nodiscard]] bool isDue() const
     {
         const std::size_t bytes = std::max(leastBytes, snapshotBytes);
-        return bytesSinceSnapshot >= (hasLearnerBehind ? growthForLearner * bytes : bytes) + turn * bytesATurn;
+        return bytesSinceSnapshot >= (hasLaggingLearner ? growthForLearner * bytes : bytes) + turn * bytesATurn;
     }
 };
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_LOG_CUT_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_COMPACTION_POLICY_HPP_INCLUDED
--- a/include/cardamompost/consensus/cp_raft_message.hpp
+++ b/include/cardamompost/consensus/cp_raft_message.hpp
@@ -42,7 +42,7 @@
     LogIndex commit = 0;
     bool granted = false;
     //! The sender has lost its disk and does not hold yet what it once confirmed.
-    bool isBlank = false;
+    bool isUninitialized = false;
     //! Counter of the leader's confirmation rounds, echoed by replies.
     std::uint64_t round = 0;
     std::vector<LogEntry> entries;
--- a/include/cardamompost/consensus/cp_raft_node.hpp
+++ b/include/cardamompost/consensus/cp_raft_node.hpp
@@ -5,7 +5,7 @@
 #include <cardamompost/consensus/cp_raft_message.hpp>
 #include <cardamompost/core/cp_error.hpp>
 #include <cardamompost/core/cp_time.hpp>
-#include <cardamompost/liveness/cp_contact_gaps.hpp>
+#include <cardamompost/liveness/cp_silence_detector.hpp>
 
 #include <map>
 #include <random>
@@ -18,8 +18,8 @@
     VmName self;
     //! A follower starts an election after 1 to 2 times this without a leader.
     Milliseconds electionTimeout {400};
-    //! Shorter election timeouts are taken, down to this, where the leader's contacts are dense (ContactGaps); 0 for
-    //! none.
+    //! Shorter election timeouts are taken, down to this, where the leader's contacts are dense (SilenceDetector); 0
+    //! for none.
     Milliseconds shortestElectionTimeout {0};
     //! The same for the first time after a start; 0 for no difference. Shorter, a group whose members all start
     //! together has its leader sooner; a member that starts alone disturbs nobody, since a pre-vote against a leader
@@ -146,12 +146,12 @@
     //! Highest index that a member is known to hold; only on the leader.
     [[nodiscard]] LogIndex matchOf(const VmName &member) const;
     //! True once the leader has committed an entry of its own term.
-    [[nodiscard]] bool isSettledLeader() const;
+    [[nodiscard]] bool isEstablishedLeader() const;
     //! True while the leader has heard from a quorum so lately that no other member can have been elected: what has to
     //! be decided by one member at a time may be decided here. Members whose clocks run at other speeds weaken that.
     [[nodiscard]] bool hasLease(TimePoint now) const;
     //! True for a member that has lost its disk and does not hold again all that is committed.
-    [[nodiscard]] bool isBlank() const
+    [[nodiscard]] bool isUninitialized() const
     {
         return hard_.votedFor == unknownVote;
     }
@@ -189,7 +189,7 @@
     void onVoteRequest(const RaftMessage &message);
     void onAppend(RaftMessage &message);
     void onAppendReply(const RaftMessage &message);
-    void becomeWholeIfCaughtUp(const RaftMessage &message);
+    void initializeIfCaughtUp(const RaftMessage &message);
     void onRejectedAppend(Progress &progress, const RaftMessage &message);
     void onSnapshotPiece(RaftMessage &message);
     void onSnapshotReply(const RaftMessage &message);
@@ -226,7 +226,7 @@
     TimePoint leaderContact_ {};
     //! Whose contacts are in leaderGaps_.
     VmName gapsOf_;
-    ContactGaps leaderGaps_;
+    SilenceDetector leaderGaps_;
     TimePoint nextHeartbeat_ {};
     std::set<VmName> votes_;
     std::map<VmName, Progress> progress_;
--- a/include/cardamompost/edge/cp_idialect.hpp
+++ b/include/cardamompost/edge/cp_iplatform_adapter.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_IDIALECT_HPP_INCLUDED
-#define CARDAMOMPOST_CP_IDIALECT_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_IPLATFORM_ADAPTER_HPP_INCLUDED
+#define CARDAMOMPOST_CP_IPLATFORM_ADAPTER_HPP_INCLUDED
 
 #include <cardamompost/core/cp_error.hpp>
 #include <cardamompost/core/cp_time.hpp>
@@ -52,15 +52,15 @@
     //! Empty on the last page.
     std::string next;
     //! Entries that name no server, and why the last of them does not.
-    std::size_t leftOut = 0;
+    std::size_t skipped = 0;
     std::string reason;
 };
 
 //! Names and formats of the platform that the system runs on. It translates and decides nothing.
-class IDialect
+class IPlatformAdapter
 {
 public:
-    virtual ~IDialect() = default;
+    virtual ~IPlatformAdapter() = default;
 
     [[nodiscard]] virtual const HeaderNames &headers() const = 0;
     [[nodiscard]] virtual const PathNames &paths() const = 0;
@@ -78,4 +78,4 @@
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_IDIALECT_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_IPLATFORM_ADAPTER_HPP_INCLUDED
--- a/include/cardamompost/journal/cp_journal_keeper.hpp
+++ b/include/cardamompost/journal/cp_journal_keeper.hpp
@@ -21,7 +21,7 @@
 {
 public:
     //! Records in an empty store that its disk replaces one which was lost.
-    static void markBlank(LogBatch &batch);
+    static void markUninitialized(LogBatch &batch);
     //! Replaces the promises that were lost with the disk.
     //! \param epochs  of each partition by its number, read from the control log after the loss
     static void restorePromises(const std::vector<Epoch> &epochs, LogBatch &batch);
@@ -35,7 +35,7 @@
     //! False when the owner was deposed; nothing was added to the batch then.
     bool forget(const JournalForget &request, LogBatch &batch);
     //! True while this copy lacks what a lost disk held.
-    [[nodiscard]] bool isBlank(PartitionId partition) const;
+    [[nodiscard]] bool isUninitialized(PartitionId partition) const;
     //! Errors: StorageFailed, StorageCorrupt.
     Result<JournalReadReply> read(const JournalRead &request);
 
--- a/include/cardamompost/journal/cp_journal_writer.hpp
+++ b/include/cardamompost/journal/cp_journal_writer.hpp
@@ -132,7 +132,7 @@
     void onSeal(Keeper &keeper, const SealReply &reply);
     void onAppend(Keeper &keeper, const JournalAppendReply &reply);
     void onRead(const VmName &name, Keeper &keeper, const JournalReadReply &reply);
-    void onCopyRead(const VmName &laggardName, LogIndex readTo, const JournalReadReply &reply);
+    void onCopyRead(const VmName &laggingKeeperName, LogIndex readTo, const JournalReadReply &reply);
     void onSourceLost(const VmName &name, Keeper &keeper);
     void startReading();
     void finishReading();
--- a/include/cardamompost/ledger/cp_ledger_message.hpp
+++ b/include/cardamompost/ledger/cp_ledger_message.hpp
@@ -17,12 +17,12 @@
     //! The member's address, which is its name in the ledger's group.
     std::string peer;
     //! All that the log up to here says is on its disk or in its memory, turns' texts too; 0 while any is missing.
-    LogIndex holdsUpTo = 0;
+    LogIndex completeUpTo = 0;
     std::string failureDomain;
 };
 
 //! Where the ledger's group is, as one of its VMs sees it.
-struct GroupSighting {
+struct GroupView {
     //! Empty while none is known.
     VmName leader;
     //! Of that leader; one with a higher term was elected later.
@@ -31,29 +31,29 @@
     //! Addresses of the group's members.
     std::vector<VmName> members;
 
-    friend bool operator==(const GroupSighting &, const GroupSighting &) = default;
+    friend bool operator==(const GroupView &, const GroupView &) = default;
 };
 
 struct JoinReply {
     //! The leader has confirmed with its quorum that it leads; only then does the term count.
     bool isConfirmed = false;
-    GroupSighting group;
+    GroupView group;
 };
 
 //! A leader tells a VM that has not asked for it where it is. It is not confirmed: whoever gets it asks there.
 struct LeaderNotice {
-    GroupSighting group;
+    GroupView group;
 };
 
 //! What decides at which engine a turn gets a place, and when. Not part of what is kept.
-struct PlacementWish {
+struct PlacementRequest {
     //! Empty when the entry chooses by itself.
     std::string service;
     std::string failureDomain;
     std::uint32_t rank = 0;
     //! Until its program should be finished; below 0 when it is late.
     std::int64_t programTimeLeftMs = 0;
-    std::uint32_t patienceMs = 0;
+    std::uint32_t timeLeftMs = 0;
     //! Servers that this entry could not reach a moment ago.
     std::vector<std::string> unreachable;
 };
@@ -69,7 +69,7 @@
     //! Tokens that all turns of the program may generate; negative for a program without a budget.
     std::int64_t budget = -1;
     std::uint32_t retentionMs = 0;
-    PlacementWish wish {};
+    PlacementRequest placement {};
     //! Client account whose limit the turn counts towards; empty for none. Not part of what is kept.
     std::string account {};
 };
@@ -82,7 +82,7 @@
     Tentative,
     Granted,
     //! The budget does not hold the turn.
-    Spent,
+    BudgetExhausted,
     //! No such turn to continue, as a quorum knows.
     NoSuchTurn,
     //! The engines' places are taken; Tentative follows once there is one.
@@ -128,7 +128,7 @@
 //! How a turn ended at the entry.
 enum class TurnEnding : std::uint8_t {
     //! The caller gets the whole answer once this is durable.
-    Whole,
+    Complete,
     //! It did not run and never will; its reservation is given back.
     NotRun,
     //! It broke off; what was handed out is spent.
@@ -157,7 +157,7 @@
 };
 
 //! Asks the leader for what has changed since the versions known.
-struct NewsRequest {
+struct UpdateRequest {
     //! Of the document in force.
     std::uint64_t documentVersion = 0;
     BackendListVersion list;
@@ -165,14 +165,14 @@
     DocumentBuckets::Digests documentDigests;
     BackendBuckets::Digests listDigests;
     //! For how long the entry has known that it lacks something; 0 when it knows of nothing.
-    std::uint32_t behindMs = 0;
+    std::uint32_t staleMs = 0;
     //! How long the leader may wait for a change before it answers.
     std::uint32_t waitMs = 0;
     //! False for a question that is only after who leads.
     bool wantsContent = true;
 };
 
-struct NewsReply {
+struct UpdateReply {
     bool isLeader = false;
     VmName leader;
     //! Of the leader that answers; one with a lower term than another's was deposed by that.
--- a/include/cardamompost/ledger/cp_peer_book.hpp
+++ b/include/cardamompost/ledger/cp_membership_cache.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_PEER_BOOK_HPP_INCLUDED
-#define CARDAMOMPOST_CP_PEER_BOOK_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_MEMBERSHIP_CACHE_HPP_INCLUDED
+#define CARDAMOMPOST_CP_MEMBERSHIP_CACHE_HPP_INCLUDED
 
 #include <cardamompost/core/cp_error.hpp>
 #include <cardamompost/ledger/cp_ledger_message.hpp>
@@ -14,16 +14,16 @@
 //! others and nobody names a member, although a quorum runs. Whoever is in the book is only asked: what is in force is
 //! told by a leader that a quorum confirms.
 //! Thread-safety: none.
-class PeerBook
+class MembershipCache
 {
 public:
     //! Former members are kept up to this number, those seen last first: a leader may be an old one again.
-    static constexpr std::size_t mostPeers = 16;
+    static constexpr std::size_t maxPeers = 16;
 
     //! Notes what a leader told. \returns true when the book has changed and is worth storing
-    bool note(const GroupSighting &sighting);
+    bool note(const GroupView &groupView);
 
-    [[nodiscard]] const GroupSighting &last() const
+    [[nodiscard]] const GroupView &last() const
     {
         return last_;
     }
@@ -41,16 +41,16 @@
     [[nodiscard]] static Result<Stored> decode(const std::string &bytes);
 
 private:
-    GroupSighting last_;
+    GroupView last_;
     std::vector<VmName> peers_;
 };
 
 //! A book as it was read back, and when it was written.
-struct PeerBook::Stored {
-    PeerBook book;
+struct MembershipCache::Stored {
+    MembershipCache cache;
     std::int64_t wallMs = 0;
 };
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_PEER_BOOK_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_MEMBERSHIP_CACHE_HPP_INCLUDED
--- a/include/cardamompost/ledger/cp_news_queue.hpp
+++ b/include/cardamompost/ledger/cp_update_queue.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_NEWS_QUEUE_HPP_INCLUDED
-#define CARDAMOMPOST_CP_NEWS_QUEUE_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_UPDATE_QUEUE_HPP_INCLUDED
+#define CARDAMOMPOST_CP_UPDATE_QUEUE_HPP_INCLUDED
 
 #include <cardamompost/core/cp_time.hpp>
 #include <cardamompost/ledger/cp_ledger_message.hpp>
@@ -17,7 +17,7 @@
 //! after a start or a change of everything, and the leader has small memory and a small link.
 //! Thread-safety: none.
 template<typename Replier>
-class NewsQueue
+class UpdateQueue
 {
 public:
     struct Limits {
@@ -26,21 +26,21 @@
         double burstBytes = 0;
     };
     struct Question {
-        NewsRequest request;
+        UpdateRequest request;
         Replier replier;
         //! When the entry first knew that it lacks something, or asked.
         TimePoint since;
         TimePoint deadline;
     };
 
-    explicit NewsQueue(Limits limits)
+    explicit UpdateQueue(Limits limits)
         : limits_(limits)
     {
     }
 
-    void add(NewsRequest request, Replier replier, TimePoint now, Milliseconds wait)
+    void add(UpdateRequest request, Replier replier, TimePoint now, Milliseconds wait)
     {
-        const TimePoint since = now - Milliseconds(request.behindMs);
+        const TimePoint since = now - Milliseconds(request.staleMs);
         questions_.push_back({std::move(request), std::move(replier), since, now + wait});
     }
     [[nodiscard]] bool isEmpty() const
@@ -106,4 +106,4 @@
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_NEWS_QUEUE_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_UPDATE_QUEUE_HPP_INCLUDED
--- a/include/cardamompost/limits/cp_request_limiter.hpp
+++ b/include/cardamompost/limits/cp_request_limiter.hpp
@@ -16,13 +16,13 @@
 {
 
 //! How exactly limits have to be kept.
-struct LimitPrecision {
+struct LimitTolerance {
     //! In any span of this length an account gets its rate times the span and its burst. 0 for spans of every length.
     Milliseconds window {0};
     //! What may come on top of that, as a share and as a number of requests. It is used up only when the VM that counts
     //! is replaced, as its successor does not know what was admitted in the last moment before.
-    double overShare = 0;
-    double overRequests = 0;
+    double excessShare = 0;
+    double excessRequests = 0;
 };
 
 //! What a request that was not admitted is beyond.
@@ -48,14 +48,14 @@
 class RequestLimiter
 {
 public:
-    struct Demand {
+    struct AdmissionRequest {
         std::string_view account;
         //! The same request may ask again, after a lost answer; it counts once.
         std::string_view id;
         //! The first request of a program.
         bool beginsProgram = false;
     };
-    struct Verdict {
+    struct Decision {
         bool isAdmitted = false;
         LimitReached reached = LimitReached::None;
         //! When it is admitted: how long the request has to wait until it is sent.
@@ -64,8 +64,8 @@
         Milliseconds retryAfter {0};
     };
 
-    explicit RequestLimiter(LimitPrecision precision = {})
-        : precision_(precision)
+    explicit RequestLimiter(LimitTolerance tolerance = {})
+        : tolerance_(tolerance)
     {
     }
 
@@ -88,7 +88,7 @@
         const auto found = usages_.find(account);
         return found == usages_.end() ? RequestLimit {} : found->second.limit;
     }
-    [[nodiscard]] Verdict admit(const Demand &demand, TimePoint now);
+    [[nodiscard]] Decision admit(const AdmissionRequest &request, TimePoint now);
 
 private:
     //! A number that grows with time up to a bound, and may be overdrawn.
@@ -155,20 +155,20 @@
     [[nodiscard]] double depthOf(const RequestLimit &limit) const;
     [[nodiscard]] double allowedInWindow(const RequestLimit &limit) const;
     //! Requests that a successor may not know of.
-    [[nodiscard]] double mostUnreported(const RequestLimit &limit) const;
+    [[nodiscard]] double maxUnreported(const RequestLimit &limit) const;
     //! Until one more request fits into the window; 0 when it does.
     [[nodiscard]] Milliseconds untilWindowFits(const Usage &usage, TimePoint now) const;
     [[nodiscard]] Milliseconds slice() const
     {
-        return std::max(Milliseconds(1), precision_.window / static_cast<int>(RecentCounts::slicesAWindow));
+        return std::max(Milliseconds(1), tolerance_.window / static_cast<int>(RecentCounts::slicesAWindow));
     }
     [[nodiscard]] bool isKnown(std::string_view id, TimePoint now);
     //! \param wait  until the request could be admitted, if no other came
     //! \param perSecond  how many can be admitted a second from then on
-    [[nodiscard]] static Verdict refuse(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
-                                        TimePoint now);
+    [[nodiscard]] static Decision refuse(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
+                                         TimePoint now);
 
-    LimitPrecision precision_;
+    LimitTolerance tolerance_;
     std::unordered_map<std::string, Usage> usages_;
     TimePoint lastReport_ {};
     bool isReporting_ = false;
--- a/include/cardamompost/liveness/cp_contact_gaps.hpp
+++ b/include/cardamompost/liveness/cp_silence_detector.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_CONTACT_GAPS_HPP_INCLUDED
-#define CARDAMOMPOST_CP_CONTACT_GAPS_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_SILENCE_DETECTOR_HPP_INCLUDED
+#define CARDAMOMPOST_CP_SILENCE_DETECTOR_HPP_INCLUDED
 
 #include <cardamompost/core/cp_time.hpp>
 
@@ -7,7 +7,7 @@
 {
 
 //! Between which times a silence becomes suspicious.
-struct SilenceBounds {
+struct SuspicionBounds {
     //! No shorter silence is suspicious, however dense the contacts are.
     Milliseconds floor {0};
     //! Any longer one is, and every one as long as nothing is known.
@@ -21,10 +21,10 @@
 //! clearly is out of the pattern. The longest and not the mean decides: a VM whose share of a processor is used up
 //! stands still for most of a tenth of a second now and then, and packets that were lost come a fifth of a second late.
 //! Thread-safety: none. Time is an argument.
-class ContactGaps
+class SilenceDetector
 {
 public:
-    explicit ContactGaps(SilenceBounds bounds)
+    explicit SilenceDetector(SuspicionBounds bounds)
         : bounds_(bounds)
     {
     }
@@ -34,10 +34,10 @@
     //! What was known is of somebody else; a silence that has begun counts from now.
     void restart(TimePoint now);
     //! The silence from which on they are suspect.
-    [[nodiscard]] Milliseconds suspectAfter() const;
+    [[nodiscard]] Milliseconds suspicionTimeout() const;
 
 private:
-    SilenceBounds bounds_;
+    SuspicionBounds bounds_;
     TimePoint last_ {};
     double longestMs_ = 0;
     bool isKnown_ = false;
@@ -45,4 +45,4 @@
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_CONTACT_GAPS_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_SILENCE_DETECTOR_HPP_INCLUDED
--- a/include/cardamompost/net/cp_frame.hpp
+++ b/include/cardamompost/net/cp_frame.hpp
@@ -42,8 +42,8 @@
                    JournalReadReply, JournalForget, LeaseRequest, LeaseReply, ProposeRequest, ProposeReply, PullRequest,
                    PullReply, StatusRequest, StatusReply, ProbeRequest, ProbeReply, LimitRequest, LimitReply,
                    ApiRequest, ApiChunk, FailureReply, JoinRequest, JoinReply, TurnBegin, TurnBeginReply, TurnFinish,
-                   TurnFinishReply, NewsRequest, NewsReply, Presence, TurnTextsRequest, TurnTextsReply, LeaderNotice,
-                   AdmitRequest, AdmitReply>;
+                   TurnFinishReply, UpdateRequest, UpdateReply, Presence, TurnTextsRequest, TurnTextsReply,
+                   LeaderNotice, AdmitRequest, AdmitReply>;
 
 //! One message on a connection between two of the system's processes.
 struct Frame {
--- a/include/cardamompost/observe/cp_log_pipe.hpp
+++ b/include/cardamompost/observe/cp_log_pipe.hpp
@@ -40,7 +40,7 @@
     std::size_t capacity_;
     std::string waiting_;
     std::uint64_t dropped_ = 0;
-    std::uint64_t untold_ = 0;
+    std::uint64_t unreported_ = 0;
 };
 
 } // namespace cardamompost
--- a/include/cardamompost/policy/cp_answer_time.hpp
+++ b/include/cardamompost/policy/cp_response_time_tracker.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_ANSWER_TIME_HPP_INCLUDED
-#define CARDAMOMPOST_CP_ANSWER_TIME_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_RESPONSE_TIME_TRACKER_HPP_INCLUDED
+#define CARDAMOMPOST_CP_RESPONSE_TIME_TRACKER_HPP_INCLUDED
 
 #include <cardamompost/core/cp_time.hpp>
 
@@ -11,7 +11,7 @@
 //!
 //! Source: the smoothed mean and deviation of RFC 6298, with a wider factor, since work spreads more than round trips.
 //! Thread-safety: none.
-class AnswerTime
+class ResponseTimeTracker
 {
 public:
     //! Takes the time from the sending of a request to the head of its answer.
@@ -19,7 +19,7 @@
 
     //! How long to wait for an answer before the request goes to another server.
     //! \param timeLeft  until the request's deadline; half of it is kept for the other server
-    [[nodiscard]] Milliseconds patience(Milliseconds timeLeft) const;
+    [[nodiscard]] Milliseconds responseTimeout(Milliseconds timeLeft) const;
 
 private:
     double mean_ = 0;
@@ -29,4 +29,4 @@
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_ANSWER_TIME_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_RESPONSE_TIME_TRACKER_HPP_INCLUDED
--- a/include/cardamompost/policy/cp_turn_placement.hpp
+++ b/include/cardamompost/policy/cp_turn_placement.hpp
@@ -26,11 +26,11 @@
     //! 0 goes first.
     unsigned rank = 0;
     //! Its program has run a turn before, or runs one now.
-    bool isUnderWay = false;
+    bool isInProgress = false;
     //! Its program should be finished by now.
     bool isLate = false;
     //! How long the turn may hold its place at most.
-    Milliseconds patience {0};
+    Milliseconds timeLeft {0};
 };
 
 //! Where turns go and in which order, decided in one place for all entries.
@@ -79,7 +79,7 @@
         bool isOpen = false;
         TimePoint avoidUntil {};
         //! As BackendServer::born.
-        std::uint64_t born = 0;
+        std::uint64_t incarnation = 0;
     };
     struct Held {
         std::string engine;
@@ -117,7 +117,7 @@
     //! An engine has started again under its id.
     void forgetIncarnation(const std::string &id);
     [[nodiscard]] bool hasService(const std::string &service) const;
-    [[nodiscard]] bool hasSoundEngine(const std::string &service, TimePoint now) const;
+    [[nodiscard]] bool hasUsableEngine(const std::string &service, TimePoint now) const;
     void hold(const TurnToPlace &turn, const std::string &engine, TimePoint now);
     void serveQueues(TimePoint now);
     void expireHeld(TimePoint now);
--- a/include/cardamompost/routing/cp_backend_list.hpp
+++ b/include/cardamompost/routing/cp_backend_list.hpp
@@ -18,7 +18,7 @@
     bool isLeaving = false;
     //! When this incarnation started, as the server says, in milliseconds since 1970; 0 where it does not. A server may
     //! start again under its id: the one with the higher number is the later one, and holds nothing of the one before.
-    std::uint64_t born = 0;
+    std::uint64_t incarnation = 0;
 
     friend bool operator==(const BackendServer &, const BackendServer &) = default;
 };
--- a/include/cardamompost/storage/cp_log_batch.hpp
+++ b/include/cardamompost/storage/cp_log_batch.hpp
@@ -18,7 +18,7 @@
 inline constexpr GroupId textGroup = 0xffff'ffff;
 
 //! The way to the ledger's group, as one snapshot. No partition has this number.
-inline constexpr GroupId contactsGroup = 0xffff'fffe;
+inline constexpr GroupId membershipCacheGroup = 0xffff'fffe;
 
 [[nodiscard]] constexpr GroupId journalGroup(PartitionId partition)
 {
@@ -54,7 +54,7 @@
     void putHardState(GroupId group, const RaftHardState &state);
     void putEntry(GroupId group, const LogEntry &entry);
     //! An entry that voids no others, for groups whose entries stand by themselves.
-    void putLooseEntry(GroupId group, LogIndex index, std::string payload);
+    void putUnorderedEntry(GroupId group, LogIndex index, std::string payload);
     void putSnapshot(GroupId group, const RaftSnapshot &snapshot);
     void forget(GroupId group, const std::vector<LogIndex> &indexes);
 
--- a/src/cardamompost/config/cp_settings.cpp
+++ b/src/cardamompost/config/cp_settings.cpp
@@ -65,7 +65,7 @@
     reader.finish();
 }
 
-void checkWhole(SettingsResult &result)
+void checkSettings(SettingsResult &result)
 {
     const Settings &settings = result.settings;
     const auto isSelf = [&](const KeeperPeer &keeper) { return keeper.name == settings.vm; };
@@ -115,7 +115,7 @@
     if (!hasVm) {
         result.faults.push_back({0, "vm", {}, "the section is missing"});
     }
-    checkWhole(result);
+    checkSettings(result);
     return result;
 }
 
--- a/src/cardamompost/consensus/cp_raft_election.cpp
+++ b/src/cardamompost/consensus/cp_raft_election.cpp
@@ -6,7 +6,7 @@
 
 void RaftNode::resetElectionDeadline()
 {
-    const Milliseconds timeout = leaderGaps_.suspectAfter();
+    const Milliseconds timeout = leaderGaps_.suspicionTimeout();
     std::uniform_int_distribution<std::int64_t> spread(0, timeout.count());
     electionDeadline_ = now_ + timeout + Milliseconds(spread(random_));
 }
@@ -28,14 +28,14 @@
     if (role_ == RaftRole::Leader) {
         return true;
     }
-    return !leader_.empty() && now_ - leaderContact_ < leaderGaps_.suspectAfter();
+    return !leader_.empty() && now_ - leaderContact_ < leaderGaps_.suspicionTimeout();
 }
 
 void RaftNode::becomeFollower(Term term, const VmName &leader)
 {
     checkInvariant(term >= hard_.term, "a term never goes back");
     if (term > hard_.term) {
-        hard_ = {term, isBlank() ? std::string(unknownVote) : VmName {}};
+        hard_ = {term, isUninitialized() ? std::string(unknownVote) : VmName {}};
     }
     if (role_ == RaftRole::Leader) {
         failReads();
@@ -98,7 +98,7 @@
     const bool hasNewerTerm = message.term > hard_.term || (!isPreVote && message.term == hard_.term);
     // Guards against a member that has lost its disk and votes twice in a term, or for one that lacks what it once
     // confirmed itself.
-    reply.granted = !isBlank() && hasNewerTerm && isFree && !(isPreVote && hasRecentLeader())
+    reply.granted = !isUninitialized() && hasNewerTerm && isFree && !(isPreVote && hasRecentLeader())
         && log_.isUpToDate(message.index, message.indexTerm);
     if (reply.granted && isPreVote) {
         reply.term = message.term;
@@ -131,7 +131,7 @@
 
 void RaftNode::onTimeoutNow(const RaftMessage &message)
 {
-    if (message.term == hard_.term && isVoter(options_.self) && !isBlank()) {
+    if (message.term == hard_.term && isVoter(options_.self) && !isUninitialized()) {
         startElection(false);
     }
 }
--- a/src/cardamompost/consensus/cp_raft_node.cpp
+++ b/src/cardamompost/consensus/cp_raft_node.cpp
@@ -39,7 +39,7 @@
         }
         return;
     }
-    if (now_ >= electionDeadline_ && isVoter(options_.self) && !isBlank()) {
+    if (now_ >= electionDeadline_ && isVoter(options_.self) && !isUninitialized()) {
         startElection(true);
     }
 }
@@ -62,7 +62,7 @@
     // Guards against two quorums that do not meet: with two changes under way at once, or a change by two
     // voters, members could commit different entries at one index. A new leader also waits for its barrier,
     // because an uncommitted change of the last leader may still be in its log.
-    if (pendingMembership_ > commit_ || !isSettledLeader()) {
+    if (pendingMembership_ > commit_ || !isEstablishedLeader()) {
         return makeError(ErrorKind::NotReady, "another change of members is not committed yet");
     }
     if (next.voters.empty() || !next.isSingleStepFrom(membership())) {
@@ -90,7 +90,7 @@
     }
     // Guards against a stale read right after an election: entries committed by the last leader may not be
     // known as committed here until an entry of this term is.
-    if (!isSettledLeader()) {
+    if (!isEstablishedLeader()) {
         return makeError(ErrorKind::NotReady, "the new leader has not committed its first entry yet");
     }
     pendingReads_.push_back({id, ++round_, commit_});
@@ -161,14 +161,14 @@
     return found == progress_.end() ? 0 : found->second.match;
 }
 
-bool RaftNode::isSettledLeader() const
+bool RaftNode::isEstablishedLeader() const
 {
     return role_ == RaftRole::Leader && log_.termAt(commit_) == hard_.term;
 }
 
 bool RaftNode::hasLease(TimePoint now) const
 {
-    if (!isSettledLeader()) {
+    if (!isEstablishedLeader()) {
         return false;
     }
     const Milliseconds shortest
@@ -192,7 +192,7 @@
     message.from = options_.self;
     message.to = to;
     message.term = hard_.term;
-    message.isBlank = isBlank();
+    message.isUninitialized = isUninitialized();
     return message;
 }
 
--- a/src/cardamompost/consensus/cp_raft_replication.cpp
+++ b/src/cardamompost/consensus/cp_raft_replication.cpp
@@ -163,16 +163,16 @@
         log_.append(std::move(entry));
     }
     commit_ = std::max(commit_, std::min(message.commit, reply.index));
-    becomeWholeIfCaughtUp(message);
+    initializeIfCaughtUp(message);
     reply.granted = true;
     outbox_.push_back(std::move(reply));
 }
 
-void RaftNode::becomeWholeIfCaughtUp(const RaftMessage &message)
+void RaftNode::initializeIfCaughtUp(const RaftMessage &message)
 {
     // A settled leader's commit index covers all that was ever committed, also with this member's lost copy.
     const bool isSettled = message.commit > 0 && log_.termAt(message.commit) == message.term;
-    if (isBlank() && isSettled && commit_ >= message.commit) {
+    if (isUninitialized() && isSettled && commit_ >= message.commit) {
         hard_.votedFor = message.from;
     }
 }
@@ -210,7 +210,7 @@
     progress.isProbing = true;
     progress.probeSent = false;
     progress.inFlight = 0;
-    if (message.isBlank) {
+    if (message.isUninitialized) {
         // What it confirmed before it lost its disk counts no more.
         progress.match = std::min(progress.match, message.index);
     }
--- a/src/cardamompost/journal/cp_journal_keeper.cpp
+++ b/src/cardamompost/journal/cp_journal_keeper.cpp
@@ -45,7 +45,7 @@
     return store_.group(journalGroup(partition));
 }
 
-void JournalKeeper::markBlank(LogBatch &batch)
+void JournalKeeper::markUninitialized(LogBatch &batch)
 {
     batch.putHardState(markerGroup, {promisesLost, std::string(unknownVote)});
 }
@@ -65,7 +65,7 @@
     return store_.group(markerGroup).hard.term != promisesLost;
 }
 
-bool JournalKeeper::isBlank(PartitionId partition) const
+bool JournalKeeper::isUninitialized(PartitionId partition) const
 {
     return groupOf(partition).hard.votedFor == unknownVote;
 }
@@ -76,10 +76,10 @@
     if (epoch < hard.term) {
         return false;
     }
-    const bool isOwnBlank = isBlank(partition);
-    checkInvariant(epoch > hard.term || owner == hard.votedFor || isOwnBlank, "an epoch belongs to one owner");
+    const bool isOwnUninitialized = isUninitialized(partition);
+    checkInvariant(epoch > hard.term || owner == hard.votedFor || isOwnUninitialized, "an epoch belongs to one owner");
     if (epoch > hard.term) {
-        batch.putHardState(journalGroup(partition), {epoch, isOwnBlank ? std::string(unknownVote) : owner});
+        batch.putHardState(journalGroup(partition), {epoch, isOwnUninitialized ? std::string(unknownVote) : owner});
     }
     return true;
 }
@@ -88,7 +88,7 @@
 {
     const StoredGroup &group = groupOf(request.partition);
     SealReply reply;
-    if (isBlank(request.partition)) {
+    if (isUninitialized(request.partition)) {
         reply.promised = group.hard.term;
         return reply;
     }
@@ -133,7 +133,7 @@
         isReplacing = true;
         batch.putEntry(id, entry);
     }
-    if (isBlank(request.partition) && request.commit != 0 && reply.index >= request.commit) {
+    if (isUninitialized(request.partition) && request.commit != 0 && reply.index >= request.commit) {
         batch.putHardState(id, {request.epoch, request.owner});
     }
     return reply;
@@ -164,7 +164,7 @@
     // A reader of a lower epoch could take entries for committed that a newer owner has replaced since.
     // A copy that is being filled up anew must not be a source: what it lacks would look forgotten to the reader,
     // and be dropped from copies that are whole.
-    if (request.epoch < group.hard.term || isBlank(request.partition)) {
+    if (request.epoch < group.hard.term || isUninitialized(request.partition)) {
         return reply;
     }
     reply.accepted = true;
--- a/src/cardamompost/journal/cp_journal_writer.cpp
+++ b/src/cardamompost/journal/cp_journal_writer.cpp
@@ -76,8 +76,8 @@
 
 std::size_t JournalWriter::upToDateKeepers() const
 {
-    const auto isWhole = [this](const auto &item) { return item.second.isKnown && item.second.match >= commit_; };
-    return static_cast<std::size_t>(std::count_if(keepers_.begin(), keepers_.end(), isWhole));
+    const auto isSynced = [this](const auto &item) { return item.second.isKnown && item.second.match >= commit_; };
+    return static_cast<std::size_t>(std::count_if(keepers_.begin(), keepers_.end(), isSynced));
 }
 
 LogIndex JournalWriter::matchOf(const VmName &keeper) const
@@ -358,9 +358,9 @@
     barrier_ = lastIndex_;
 }
 
-void JournalWriter::onCopyRead(const VmName &laggardName, LogIndex readTo, const JournalReadReply &reply)
+void JournalWriter::onCopyRead(const VmName &laggingKeeperName, LogIndex readTo, const JournalReadReply &reply)
 {
-    Keeper &laggard = keepers_.at(laggardName);
+    Keeper &laggard = keepers_.at(laggingKeeperName);
     laggard.retryAt = now_;
     if (laggard.pendingId != 0) {
         return;
@@ -373,7 +373,7 @@
         // forgotten; then only what was read is sent, and the rest is read next.
         addFromWindow(request, beforeWindow_.index + 1);
     }
-    send(laggardName, laggard, std::move(request));
+    send(laggingKeeperName, laggard, std::move(request));
 }
 
 void JournalWriter::onAppend(Keeper &keeper, const JournalAppendReply &reply)
--- a/src/cardamompost/ledger/cp_ledger_state.cpp
+++ b/src/cardamompost/ledger/cp_ledger_state.cpp
@@ -82,7 +82,7 @@
         return TurnBeginStatus::Granted;
     }
     const std::int64_t taken = pendingTokens + spent(begin.program) + reserved(begin.program);
-    return taken + begin.tokensAtMost <= begin.budget ? TurnBeginStatus::Granted : TurnBeginStatus::Spent;
+    return taken + begin.tokensAtMost <= begin.budget ? TurnBeginStatus::Granted : TurnBeginStatus::BudgetExhausted;
 }
 
 TurnBeginStatus LedgerState::applyBegin(const TurnBegin &begin)
@@ -109,7 +109,7 @@
             program.spent += finish.ending == TurnEnding::NotRun ? 0 : finish.tokens;
         }
     }
-    if (finish.ending == TurnEnding::Whole && finish.isKept) {
+    if (finish.ending == TurnEnding::Complete && finish.isKept) {
         keepTurn(finish, index);
     }
 }
--- a/src/cardamompost/ledger/cp_member_planner.cpp
+++ b/src/cardamompost/ledger/cp_member_planner.cpp
@@ -85,7 +85,7 @@
 }
 
 //! A voter that is lost, or else one that is to be emptied.
-std::optional<VmName> findUnsound(const Membership &current, const MemberCandidates &candidates)
+std::optional<VmName> findInvalid(const Membership &current, const MemberCandidates &candidates)
 {
     std::optional<VmName> retiring;
     for (const VmName &voter : current.voters) {
@@ -104,7 +104,7 @@
 bool needsVoter(const Membership &current, const MemberCandidates &candidates, const DomainCounts &counts,
                 std::size_t desiredVoters)
 {
-    if (current.voters.size() < desiredVoters || findUnsound(current, candidates)) {
+    if (current.voters.size() < desiredVoters || findInvalid(current, candidates)) {
         return true;
     }
     const std::optional<VmName> crowded = findCrowded(current, candidates, counts);
@@ -124,7 +124,7 @@
     Membership next = current;
     const DomainCounts counts = countSoundVoters(current, candidates);
     if (current.voters.size() > desiredVoters) {
-        const std::optional<VmName> unsound = findUnsound(current, candidates);
+        const std::optional<VmName> unsound = findInvalid(current, candidates);
         if (const auto leaving = unsound ? unsound : findCrowded(current, candidates, counts)) {
             next.voters.erase(*leaving);
             return next;
--- a/src/cardamompost/limits/cp_request_limiter.cpp
+++ b/src/cardamompost/limits/cp_request_limiter.cpp
@@ -161,7 +161,7 @@
             state.requests.refill(state.limit.perSecond, depth, at);
             for (std::uint32_t i = 0; i < item.requests; ++i) {
                 state.requests.take();
-                if (precision_.window.count() != 0) {
+                if (tolerance_.window.count() != 0) {
                     state.recent.add(at, slice());
                 }
             }
@@ -175,12 +175,12 @@
 
 double RequestLimiter::allowedInWindow(const RequestLimit &limit) const
 {
-    return limit.perSecond * std::chrono::duration<double>(precision_.window).count() + limit.burst;
+    return limit.perSecond * std::chrono::duration<double>(tolerance_.window).count() + limit.burst;
 }
 
-double RequestLimiter::mostUnreported(const RequestLimit &limit) const
+double RequestLimiter::maxUnreported(const RequestLimit &limit) const
 {
-    const double over = allowedInWindow(limit) * precision_.overShare + precision_.overRequests;
+    const double over = allowedInWindow(limit) * tolerance_.excessShare + tolerance_.excessRequests;
     return std::max(1.0, shareOfPrecisionUnreported * over);
 }
 
@@ -221,7 +221,7 @@
 {
     const auto usage = usages_.find(account);
     return usage != usages_.end()
-        && usage->second.unreported + usage->second.inReport >= mostUnreported(usage->second.limit);
+        && usage->second.unreported + usage->second.inReport >= maxUnreported(usage->second.limit);
 }
 
 bool RequestLimiter::isKnown(std::string_view id, TimePoint now)
@@ -235,8 +235,8 @@
     return recent_.contains(key) || older_.contains(key);
 }
 
-RequestLimiter::Verdict RequestLimiter::refuse(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
-                                               TimePoint now)
+RequestLimiter::Decision RequestLimiter::refuse(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
+                                                TimePoint now)
 {
     // One after the other, so that those that are refused together do not come back together.
     const TimePoint next = usage.lastReturn + toMilliseconds(1 / perSecond);
@@ -247,13 +247,13 @@
 
 double RequestLimiter::depthOf(const RequestLimit &limit) const
 {
-    const double over = precision_.window.count() == 0 ? 0 : shareOfOverRequests * precision_.overRequests;
+    const double over = tolerance_.window.count() == 0 ? 0 : shareOfOverRequests * tolerance_.excessRequests;
     return std::max(1.0, limit.burst + over);
 }
 
 Milliseconds RequestLimiter::untilWindowFits(const Usage &usage, TimePoint now) const
 {
-    if (precision_.window.count() == 0) {
+    if (tolerance_.window.count() == 0) {
         return Milliseconds(0);
     }
     const double allowed = std::max(1.0, allowedInWindow(usage.limit));
@@ -261,10 +261,10 @@
     return fits ? Milliseconds(0) : std::max(Milliseconds(1), usage.recent.untilFewer(now, slice()));
 }
 
-RequestLimiter::Verdict RequestLimiter::admit(const Demand &demand, TimePoint now)
+RequestLimiter::Decision RequestLimiter::admit(const AdmissionRequest &request, TimePoint now)
 {
-    const auto found = usages_.find(std::string(demand.account));
-    if (found == usages_.end() || isKnown(demand.id, now)) {
+    const auto found = usages_.find(std::string(request.account));
+    if (found == usages_.end() || isKnown(request.id, now)) {
         return {true, LimitReached::None, Milliseconds(0), Milliseconds(0)};
     }
     Usage &usage = found->second;
@@ -276,7 +276,7 @@
     usage.requests.refill(perSecond, depth, now);
     usage.programs.refill(programsPerSecond, mostPrograms, now);
 
-    if (demand.beginsProgram) {
+    if (request.beginsProgram) {
         const double needed = std::min(depth, 1 + shareLeftToBegun * depth);
         if (usage.programs.level() < 1) {
             return refuse(usage, LimitReached::Programs,
@@ -294,17 +294,17 @@
     if (const Milliseconds wait = untilWindowFits(usage, now); wait.count() > 0) {
         return refuse(usage, LimitReached::Window, wait, perSecond, now);
     }
-    if (demand.beginsProgram) {
+    if (request.beginsProgram) {
         usage.programs.take();
     }
     usage.requests.take();
     ++usage.unreported;
-    isReportUrgent_ = isReportUrgent_ || 2 * usage.unreported >= mostUnreported(usage.limit);
-    if (precision_.window.count() != 0) {
+    isReportUrgent_ = isReportUrgent_ || 2 * usage.unreported >= maxUnreported(usage.limit);
+    if (tolerance_.window.count() != 0) {
         usage.recent.add(now + delay, slice());
     }
-    programSize_.note(demand.beginsProgram, now);
-    recent_.emplace(demand.id);
+    programSize_.note(request.beginsProgram, now);
+    recent_.emplace(request.id);
     return {true, LimitReached::None, delay, Milliseconds(0)};
 }
 
--- a/src/cardamompost/liveness/cp_contact_gaps.cpp
+++ b/src/cardamompost/liveness/cp_silence_detector.cpp
@@ -1,4 +1,4 @@
-#include <cardamompost/liveness/cp_contact_gaps.hpp>
+#include <cardamompost/liveness/cp_silence_detector.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void ContactGaps::observe(TimePoint now)
+void SilenceDetector::observe(TimePoint now)
 {
     if (isKnown_) {
         const double gapMs = std::chrono::duration<double, std::milli>(now - last_).count();
@@ -26,14 +26,14 @@
     last_ = now;
 }
 
-void ContactGaps::restart(TimePoint now)
+void SilenceDetector::restart(TimePoint now)
 {
     longestMs_ = 0;
     isKnown_ = true;
     last_ = now;
 }
 
-Milliseconds ContactGaps::suspectAfter() const
+Milliseconds SilenceDetector::suspicionTimeout() const
 {
     if (!isKnown_) {
         return bounds_.ceiling;
--- a/src/cardamompost/net/cp_frame_decoder.cpp
+++ b/src/cardamompost/net/cp_frame_decoder.cpp
@@ -26,7 +26,7 @@
     out.indexTerm = in.getIndexTerm();
     out.commit = in.getCommit();
     out.granted = in.getGranted();
-    out.isBlank = in.getIsBlank();
+    out.isUninitialized = in.getIsBlank();
     out.round = in.getRound();
     out.entries = decodeEntries(in.getEntries());
     out.snapshot.index = in.getSnapshotIndex();
@@ -135,9 +135,9 @@
         return JoinRequest {fromText(in.getJoin().getVm()), fromText(in.getJoin().getPeer()),
                             in.getJoin().getHoldsUpTo(), fromText(in.getJoin().getFailureDomain())};
     case Body::JOIN_REPLY:
-        return JoinReply {in.getJoinReply().getIsConfirmed(), decodeSighting(in.getJoinReply())};
+        return JoinReply {in.getJoinReply().getIsConfirmed(), decodeGroupView(in.getJoinReply())};
     case Body::LEADER_NOTICE:
-        return LeaderNotice {decodeSighting(in.getLeaderNotice())};
+        return LeaderNotice {decodeGroupView(in.getLeaderNotice())};
     case Body::TURN_BEGIN:
         return decodeTurnBegin(in.getTurnBegin());
     case Body::TURN_BEGIN_REPLY: {
@@ -155,9 +155,9 @@
     case Body::TURN_FINISH_REPLY:
         return TurnFinishReply {in.getTurnFinishReply().getIsDurable(), fromText(in.getTurnFinishReply().getLeader())};
     case Body::NEWS:
-        return decodeNewsRequest(in.getNews());
+        return decodeUpdateRequest(in.getNews());
     case Body::NEWS_REPLY:
-        return decodeNewsReply(in.getNewsReply());
+        return decodeUpdateReply(in.getNewsReply());
     case Body::PRESENCE: {
         const auto presence = in.getPresence();
         return Presence {fromText(presence.getVm()), fromText(presence.getAddress()),
--- a/src/cardamompost/net/cp_frame_encoder.cpp
+++ b/src/cardamompost/net/cp_frame_encoder.cpp
@@ -36,7 +36,7 @@
         message.setIndexTerm(in.indexTerm);
         message.setCommit(in.commit);
         message.setGranted(in.granted);
-        message.setIsBlank(in.isBlank);
+        message.setIsBlank(in.isUninitialized);
         message.setRound(in.round);
         encodeEntries(in.entries, message.initEntries(static_cast<unsigned>(in.entries.size())));
         message.setSnapshotIndex(in.snapshot.index);
@@ -251,7 +251,7 @@
         auto message = out.initJoin();
         message.setVm(toText(in.vm));
         message.setPeer(toText(in.peer));
-        message.setHoldsUpTo(in.holdsUpTo);
+        message.setHoldsUpTo(in.completeUpTo);
         message.setFailureDomain(toText(in.failureDomain));
     }
 
@@ -259,12 +259,12 @@
     {
         auto message = out.initJoinReply();
         message.setIsConfirmed(in.isConfirmed);
-        encodeSighting(in.group, message);
+        encodeGroupView(in.group, message);
     }
 
     void operator()(const LeaderNotice &in)
     {
-        encodeSighting(in.group, out.initLeaderNotice());
+        encodeGroupView(in.group, out.initLeaderNotice());
     }
 
     void operator()(const TurnBegin &in)
@@ -308,14 +308,14 @@
         message.setLeader(toText(in.leader));
     }
 
-    void operator()(const NewsRequest &in)
+    void operator()(const UpdateRequest &in)
     {
-        encodeNewsRequest(in, out.initNews());
+        encodeUpdateRequest(in, out.initNews());
     }
 
-    void operator()(const NewsReply &in)
+    void operator()(const UpdateReply &in)
     {
-        encodeNewsReply(in, out.initNewsReply());
+        encodeUpdateReply(in, out.initNewsReply());
     }
 
     void operator()(const Presence &in)
--- a/src/cardamompost/net/cp_ledger_schema.cpp
+++ b/src/cardamompost/net/cp_ledger_schema.cpp
@@ -6,31 +6,31 @@
 namespace
 {
 
-void encodeWish(const PlacementWish &in, schema::PlacementWish::Builder out)
+void encodePlacementRequest(const PlacementRequest &in, schema::PlacementWish::Builder out)
 {
     out.setService(toText(in.service));
     out.setFailureDomain(toText(in.failureDomain));
     out.setRank(in.rank);
     out.setProgramTimeLeftMs(in.programTimeLeftMs);
-    out.setPatienceMs(in.patienceMs);
+    out.setPatienceMs(in.timeLeftMs);
     auto unreachable = out.initUnreachable(static_cast<unsigned>(in.unreachable.size()));
     for (unsigned i = 0; i < unreachable.size(); ++i) {
         unreachable.set(i, toText(in.unreachable[i]));
     }
 }
 
-PlacementWish decodeWish(schema::PlacementWish::Reader in)
+PlacementRequest decodePlacementRequest(schema::PlacementWish::Reader in)
 {
-    PlacementWish wish {fromText(in.getService()),
-                        fromText(in.getFailureDomain()),
-                        in.getRank(),
-                        in.getProgramTimeLeftMs(),
-                        in.getPatienceMs(),
-                        {}};
+    PlacementRequest placement {fromText(in.getService()),
+                                fromText(in.getFailureDomain()),
+                                in.getRank(),
+                                in.getProgramTimeLeftMs(),
+                                in.getPatienceMs(),
+                                {}};
     for (const auto server : in.getUnreachable()) {
-        wish.unreachable.push_back(fromText(server));
+        placement.unreachable.push_back(fromText(server));
     }
-    return wish;
+    return placement;
 }
 
 void encodeDelta(const ContentDelta &in, schema::ContentDelta::Builder out)
@@ -83,15 +83,21 @@
         out.setAccount(toText(in.account));
     }
     // What is kept in the log has no wish.
-    if (!in.wish.service.empty()) {
-        encodeWish(in.wish, out.initWish());
+    if (!in.placement.service.empty()) {
+        encodePlacementRequest(in.placement, out.initWish());
     }
 }
 
 TurnBegin decodeTurnBegin(schema::TurnBegin::Reader in)
 {
-    return {fromText(in.getTurn()), fromText(in.getProgram()), fromText(in.getPrevious()), in.getTokensAtMost(),
-            in.getBudget(),         in.getRetentionMs(),       decodeWish(in.getWish()),   fromText(in.getAccount())};
+    return {fromText(in.getTurn()),
+            fromText(in.getProgram()),
+            fromText(in.getPrevious()),
+            in.getTokensAtMost(),
+            in.getBudget(),
+            in.getRetentionMs(),
+            decodePlacementRequest(in.getWish()),
+            fromText(in.getAccount())};
 }
 
 void encodeTurnFinish(const TurnFinish &in, schema::TurnFinish::Builder out)
@@ -126,32 +132,32 @@
             fromText(in.getBackend())};
 }
 
-void encodeNewsRequest(const NewsRequest &in, schema::NewsRequest::Builder out)
+void encodeUpdateRequest(const UpdateRequest &in, schema::NewsRequest::Builder out)
 {
     out.setDocumentVersion(in.documentVersion);
     out.setListTerm(in.list.term);
     out.setListSequence(in.list.sequence);
     out.setWaitMs(in.waitMs);
     out.setWantsContent(in.wantsContent);
-    out.setBehindMs(in.behindMs);
+    out.setBehindMs(in.staleMs);
     encodeDigests(in.documentDigests, out.initDocumentDigests(static_cast<unsigned>(in.documentDigests.size())));
     encodeDigests(in.listDigests, out.initListDigests(static_cast<unsigned>(in.listDigests.size())));
 }
 
-NewsRequest decodeNewsRequest(schema::NewsRequest::Reader in)
+UpdateRequest decodeUpdateRequest(schema::NewsRequest::Reader in)
 {
-    NewsRequest request;
+    UpdateRequest request;
     request.documentVersion = in.getDocumentVersion();
     request.list = {in.getListTerm(), in.getListSequence()};
     request.documentDigests = decodeDigests(in.getDocumentDigests());
     request.listDigests = decodeDigests(in.getListDigests());
-    request.behindMs = in.getBehindMs();
+    request.staleMs = in.getBehindMs();
     request.waitMs = in.getWaitMs();
     request.wantsContent = in.getWantsContent();
     return request;
 }
 
-void encodeNewsReply(const NewsReply &in, schema::NewsReply::Builder out)
+void encodeUpdateReply(const UpdateReply &in, schema::NewsReply::Builder out)
 {
     out.setIsLeader(in.isLeader);
     out.setLeader(toText(in.leader));
@@ -170,9 +176,9 @@
     }
 }
 
-NewsReply decodeNewsReply(schema::NewsReply::Reader in)
+UpdateReply decodeUpdateReply(schema::NewsReply::Reader in)
 {
-    NewsReply reply;
+    UpdateReply reply;
     reply.isLeader = in.getIsLeader();
     reply.leader = fromText(in.getLeader());
     reply.term = in.getTerm();
--- a/src/cardamompost/net/cp_ledger_schema.hpp
+++ b/src/cardamompost/net/cp_ledger_schema.hpp
@@ -10,7 +10,7 @@
 
 //! Into a message that has a sighting's fields among its own.
 template<typename Builder>
-void encodeSighting(const GroupSighting &in, Builder out)
+void encodeGroupView(const GroupView &in, Builder out)
 {
     out.setLeader(toText(in.leader));
     out.setTerm(in.term);
@@ -19,7 +19,7 @@
 }
 
 template<typename Reader>
-[[nodiscard]] GroupSighting decodeSighting(Reader in)
+[[nodiscard]] GroupView decodeGroupView(Reader in)
 {
     return {fromText(in.getLeader()), in.getTerm(), in.getDocumentVersion(), decodeTexts(in.getMembers())};
 }
@@ -30,10 +30,10 @@
 void encodeTurnFinish(const TurnFinish &in, schema::TurnFinish::Builder out);
 [[nodiscard]] TurnFinish decodeTurnFinish(schema::TurnFinish::Reader in);
 
-void encodeNewsRequest(const NewsRequest &in, schema::NewsRequest::Builder out);
-[[nodiscard]] NewsRequest decodeNewsRequest(schema::NewsRequest::Reader in);
-void encodeNewsReply(const NewsReply &in, schema::NewsReply::Builder out);
-[[nodiscard]] NewsReply decodeNewsReply(schema::NewsReply::Reader in);
+void encodeUpdateRequest(const UpdateRequest &in, schema::NewsRequest::Builder out);
+[[nodiscard]] UpdateRequest decodeUpdateRequest(schema::NewsRequest::Reader in);
+void encodeUpdateReply(const UpdateReply &in, schema::NewsReply::Builder out);
+[[nodiscard]] UpdateReply decodeUpdateReply(schema::NewsReply::Reader in);
 
 } // namespace cardamompost
 
--- a/src/cardamompost/observe/cp_log_pipe.cpp
+++ b/src/cardamompost/observe/cp_log_pipe.cpp
@@ -37,12 +37,13 @@
     }
     if (waiting_.size() + line.size() + 1 > capacity_) {
         ++dropped_;
-        ++untold_;
+        ++unreported_;
         return;
     }
-    if (untold_ != 0) {
-        append(fmt::format(R"({{"level":"warning","event":"log.dropped","lines":{},"total":{}}})", untold_, dropped_));
-        untold_ = 0;
+    if (unreported_ != 0) {
+        append(
+            fmt::format(R"({{"level":"warning","event":"log.dropped","lines":{},"total":{}}})", unreported_, dropped_));
+        unreported_ = 0;
     }
     append(line);
     if (waiting_.size() >= pieceBytes) {
--- a/src/cardamompost/policy/cp_answer_time.cpp
+++ b/src/cardamompost/policy/cp_response_time_tracker.cpp
@@ -1,4 +1,4 @@
-#include <cardamompost/policy/cp_answer_time.hpp>
+#include <cardamompost/policy/cp_response_time_tracker.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -17,11 +17,11 @@
 // Before so many answers, what is known says little.
 constexpr unsigned enoughSamples = 8;
 // Guards against giving up on servers that merely stand still for a moment, as with a quota of processor time.
-constexpr Milliseconds shortestPatience {200};
+constexpr Milliseconds minResponseTimeout {200};
 
 } // namespace
 
-void AnswerTime::observe(Milliseconds time)
+void ResponseTimeTracker::observe(Milliseconds time)
 {
     const auto ms = static_cast<double>(time.count());
     if (samples_ == 0) {
@@ -34,14 +34,14 @@
     samples_ = std::min(samples_ + 1, enoughSamples);
 }
 
-Milliseconds AnswerTime::patience(Milliseconds timeLeft) const
+Milliseconds ResponseTimeTracker::responseTimeout(Milliseconds timeLeft) const
 {
     const Milliseconds half = timeLeft / 2;
     if (samples_ < enoughSamples) {
         return half;
     }
     const auto usual = Milliseconds(static_cast<std::int64_t>(mean_ + deviations * deviation_));
-    return std::min(std::max(usual, shortestPatience), half);
+    return std::min(std::max(usual, minResponseTimeout), half);
 }
 
 } // namespace cardamompost
--- a/src/cardamompost/policy/cp_turn_placement.cpp
+++ b/src/cardamompost/policy/cp_turn_placement.cpp
@@ -28,7 +28,7 @@
 // Guards against places of entries that died: nobody gives them back.
 constexpr Milliseconds holdMargin {500};
 
-constexpr unsigned groupUnderWay = 0;
+constexpr unsigned groupInProgress = 0;
 constexpr unsigned groupNew = 1;
 constexpr unsigned groupLate = 2;
 
@@ -46,10 +46,10 @@
     }
     for (const BackendServer &server : servers) {
         Engine &engine = engines_[server.id];
-        if (server.born > engine.born && engine.born != 0) {
+        if (server.incarnation > engine.incarnation && engine.incarnation != 0) {
             forgetIncarnation(server.id);
         }
-        engine.born = server.born;
+        engine.incarnation = server.incarnation;
         engine.service = server.service;
         engine.failureDomain = server.failureDomain;
         engine.slots = server.slots;
@@ -87,7 +87,7 @@
                        [&](const auto &item) { return item.second.isOpen && item.second.service == service; });
 }
 
-bool TurnPlacement::hasSoundEngine(const std::string &service, TimePoint now) const
+bool TurnPlacement::hasUsableEngine(const std::string &service, TimePoint now) const
 {
     return std::any_of(engines_.begin(), engines_.end(), [&](const auto &item) {
         return item.second.isOpen && item.second.service == service && now >= item.second.avoidUntil;
@@ -129,11 +129,11 @@
     double least = std::numeric_limits<double>::max();
     std::vector<const std::string *> best;
     // With all engines in doubt, one of them is still better than none.
-    const bool takesAvoided = !hasSoundEngine(turn.service, now);
+    const bool takesAvoided = !hasUsableEngine(turn.service, now);
     for (const auto &[id, engine] : engines_) {
         const bool isUsable = engine.isOpen && engine.service == turn.service
             && (takesAvoided || now >= engine.avoidUntil)
-            && (mayOverload || turn.isUnderWay || engine.turns < engine.slots * newShare);
+            && (mayOverload || turn.isInProgress || engine.turns < engine.slots * newShare);
         const double own = isUsable ? cost(engine, turn) : least;
         if (!isUsable || own > least) {
             continue;
@@ -153,7 +153,7 @@
 void TurnPlacement::hold(const TurnToPlace &turn, const std::string &engine, TimePoint now)
 {
     ++engines_[engine].turns;
-    held_[turn.turn] = {engine, now + turn.patience + holdMargin};
+    held_[turn.turn] = {engine, now + turn.timeLeft + holdMargin};
     setWarm(turn.program, engine, now);
 }
 
@@ -207,7 +207,7 @@
         return;
     }
     // Whoever comes while others wait goes behind those that come before it, even if a place is free this moment.
-    const unsigned group = turn.isLate ? groupLate : turn.isUnderWay ? groupUnderWay : groupNew;
+    const unsigned group = turn.isLate ? groupLate : turn.isInProgress ? groupInProgress : groupNew;
     const Order order {group, turn.rank, nextSequence_++};
     places_.emplace(turn.turn, std::pair(turn.service, order));
     Queue &queue = queues_[turn.service];
--- a/src/cardamompost/routing/cp_backend_buckets.cpp
+++ b/src/cardamompost/routing/cp_backend_buckets.cpp
@@ -29,7 +29,7 @@
         out[i].setFailureDomain(toText(server.failureDomain));
         out[i].setSlots(server.slots);
         out[i].setIsLeaving(server.isLeaving);
-        out[i].setBorn(server.born);
+        out[i].setBorn(server.incarnation);
     }
     return toPackedBytes(message);
 }
--- a/src/cardamompost/routing/cp_backend_list.cpp
+++ b/src/cardamompost/routing/cp_backend_list.cpp
@@ -14,13 +14,13 @@
         const auto [place, isNew] = places.emplace(server.id, kept.size());
         if (isNew) {
             kept.push_back(std::move(server));
-        } else if (server.born >= kept[place->second].born) {
+        } else if (server.incarnation >= kept[place->second].incarnation) {
             kept[place->second] = std::move(server);
         }
     }
     for (const BackendServer &server : before) {
         const auto place = places.find(server.id);
-        if (place != places.end() && server.born > kept[place->second].born) {
+        if (place != places.end() && server.incarnation > kept[place->second].incarnation) {
             kept[place->second] = server;
         }
     }
--- a/src/cardamompost/storage/cp_log_batch.cpp
+++ b/src/cardamompost/storage/cp_log_batch.cpp
@@ -15,7 +15,7 @@
     records_.push_back({RecordType::Entry, group, entry.index, entry.term, entry.kind, entry.payload});
 }
 
-void LogBatch::putLooseEntry(GroupId group, LogIndex index, std::string payload)
+void LogBatch::putUnorderedEntry(GroupId group, LogIndex index, std::string payload)
 {
     records_.push_back({RecordType::MovedEntry, group, index, 0, EntryKind::Command, std::move(payload)});
 }
--- a/src/cli/cp_command_load.cpp
+++ b/src/cli/cp_command_load.cpp
@@ -219,9 +219,9 @@
             co_return false;
         }
         const json::value body = json::parse(answer.value().response.body);
-        const bool isWhole = body.at("messages") == messages_
+        const bool isComplete = body.at("messages") == messages_
             && body.at("history").as_array().size() + 1 == static_cast<std::size_t>(nextSequence_);
-        outcome_.isHistoryBroken = outcome_.isHistoryBroken || !isWhole;
+        outcome_.isHistoryBroken = outcome_.isHistoryBroken || !isComplete;
         co_return true;
     }
 
--- a/src/cli/cp_command_program.cpp
+++ b/src/cli/cp_command_program.cpp
@@ -241,9 +241,9 @@
             co_return reportError(context_, answer.value().response);
         }
         const json::value body = json::parse(answer.value().response.body);
-        isHistoryWhole_ = body.at("messages") == transcript_.messages
+        isHistoryComplete_ = body.at("messages") == transcript_.messages
             && body.at("history").as_array().size() + 1 == static_cast<std::size_t>(transcript_.nextSequence);
-        co_return isHistoryWhole_ ? exitOk : exitCheckFailed;
+        co_return isHistoryComplete_ ? exitOk : exitCheckFailed;
     }
 
     void note(const Turn &turn, const StreamedCall &streamed, std::string_view kind)
@@ -272,7 +272,7 @@
             }
             const json::object body {{"program", transcript_.program},
                                      {"latency_ms", transcript_.elapsedMs},
-                                     {"history_whole", isHistoryWhole_},
+                                     {"history_whole", isHistoryComplete_},
                                      {"exit_code", code},
                                      {"turns", std::move(turns)}};
             std::cout << json::serialize(body) << "\n";
@@ -281,7 +281,7 @@
         std::cout << "program " << transcript_.program << "\n";
         printTable({"TURN", "KIND", "OUTCOME", "TOTAL", "FIRST TOKEN", "CACHED", ""}, rows_);
         std::cout << "program latency " << transcript_.elapsedMs << " ms, history "
-                  << (isHistoryWhole_ ? "whole and in order" : "NOT CHECKED OR BROKEN") << "\n";
+                  << (isHistoryComplete_ ? "whole and in order" : "NOT CHECKED OR BROKEN") << "\n";
     }
 
     static constexpr std::int64_t agentBudget_ = 4000;
@@ -291,7 +291,7 @@
     ProgramScript script_;
     Transcript transcript_;
     std::vector<std::vector<std::string>> rows_;
-    bool isHistoryWhole_ = false;
+    bool isHistoryComplete_ = false;
 };
 
 int runScript(const CommandContext &context)
--- a/src/daemon/cp_control_runner.cpp
+++ b/src/daemon/cp_control_runner.cpp
@@ -280,7 +280,7 @@
         return reply;
     }
     reply.leader = node_->leader();
-    if (!node_->isSettledLeader()) {
+    if (!node_->isEstablishedLeader()) {
         return reply;
     }
     leases_[request.vm.name]
@@ -334,7 +334,7 @@
 
 void ControlRunner::lead(TimePoint now)
 {
-    if (!node_->isSettledLeader()) {
+    if (!node_->isEstablishedLeader()) {
         return;
     }
     becomeLeaderIfNew(now);
--- a/src/daemon/cp_http_answer.cpp
+++ b/src/daemon/cp_http_answer.cpp
@@ -23,9 +23,9 @@
 
 asio::awaitable<bool> HttpAnswer::deliver(ApiChunk chunk)
 {
-    const bool isWhole = !chunk.body.empty() && chunk.body.front() == '{';
-    if (!isStream_ || (isWhole && !hasBegun_)) {
-        co_return co_await deliverWhole(std::move(chunk));
+    const bool isComplete = !chunk.body.empty() && chunk.body.front() == '{';
+    if (!isStream_ || (isComplete && !hasBegun_)) {
+        co_return co_await deliverComplete(std::move(chunk));
     }
     if (!hasBegun_) {
         hasBegun_ = co_await responder_.begin(statusOk, streamHeaders());
@@ -33,7 +33,7 @@
             co_return false;
         }
     }
-    std::string bytes = isWhole ? formatSse(0, "error", chunk.body) : std::move(chunk.body);
+    std::string bytes = isComplete ? formatSse(0, "error", chunk.body) : std::move(chunk.body);
     if (bytes.empty()) {
         bytes = ": waiting\n\n";
     }
@@ -46,7 +46,7 @@
     co_return isThere;
 }
 
-asio::awaitable<bool> HttpAnswer::deliverWhole(ApiChunk chunk)
+asio::awaitable<bool> HttpAnswer::deliverComplete(ApiChunk chunk)
 {
     if (!chunk.isLast) {
         co_return true;
--- a/src/daemon/cp_http_answer.hpp
+++ b/src/daemon/cp_http_answer.hpp
@@ -17,7 +17,7 @@
     boost::asio::awaitable<bool> deliver(ApiChunk chunk);
 
 private:
-    boost::asio::awaitable<bool> deliverWhole(ApiChunk chunk);
+    boost::asio::awaitable<bool> deliverComplete(ApiChunk chunk);
     [[nodiscard]] HttpHeaders streamHeaders() const;
 
     ProgramId program_;
--- a/src/daemon/cp_keeper_service.cpp
+++ b/src/daemon/cp_keeper_service.cpp
@@ -46,7 +46,7 @@
 
 void KeeperService::markReplaced(LogBatch &batch)
 {
-    JournalKeeper::markBlank(batch);
+    JournalKeeper::markUninitialized(batch);
     isReady_ = false;
 }
 
--- a/src/gateway/cp_access_check.cpp
+++ b/src/gateway/cp_access_check.cpp
@@ -11,9 +11,9 @@
 constexpr unsigned statusUnauthorized = 401;
 constexpr unsigned statusTooMany = 429;
 constexpr unsigned statusUnavailable = 503;
-constexpr Milliseconds comeBackSoon {250};
+constexpr Milliseconds retryAfterShort {250};
 // Longest wait for the ledger's leader before a request is refused; an election of a new one fits in.
-constexpr Milliseconds admitPatience {1750};
+constexpr Milliseconds admitTimeout {1750};
 
 } // namespace
 
@@ -27,10 +27,10 @@
 
 bool AccessCheck::isCutOff() const
 {
-    return parts_.settings.failsClosed && parts_.ledger.newsAge() > parts_.settings.revocationTime;
+    return parts_.settings.failsClosed && parts_.ledger.updateAge() > parts_.settings.revocationTime;
 }
 
-OwnAnswer AccessCheck::unknownKey()
+LocalResponse AccessCheck::unknownKey()
 {
     if (parts_.ledger.hasNewestDocument()) {
         unknownKeys_.add();
@@ -39,15 +39,15 @@
     // Guards callers whose key was added a moment ago: a 401 is final for them, and an entry without the newest
     // document can't know that there is no such key.
     unsure_.add();
-    return {statusUnavailable, "the key is not known, and the document may be old", comeBackSoon};
+    return {statusUnavailable, "the key is not known, and the document may be old", retryAfterShort};
 }
 
-std::optional<OwnAnswer> AccessCheck::identify(ForwardedRequest &request)
+std::optional<LocalResponse> AccessCheck::identify(ForwardedRequest &request)
 {
     if (!request.table->hasAccounts()) {
         return std::nullopt;
     }
-    request.keyHash = readKeyHash(request.message, parts_.dialect.headers());
+    request.keyHash = readKeyHash(request.message, parts_.adapter.headers());
     const Account *account = request.keyHash ? request.table->account(*request.keyHash) : nullptr;
     if (account != nullptr) {
         request.account = account->name;
@@ -62,12 +62,12 @@
     }
     if (isCutOff()) {
         unsure_.add();
-        return OwnAnswer {statusUnavailable, "it is not known whether the key still holds", comeBackSoon};
+        return LocalResponse {statusUnavailable, "it is not known whether the key still holds", retryAfterShort};
     }
     return std::nullopt;
 }
 
-std::optional<OwnAnswer> AccessCheck::recheck(const ForwardedRequest &request, const RouteTable &newest)
+std::optional<LocalResponse> AccessCheck::recheck(const ForwardedRequest &request, const RouteTable &newest)
 {
     if (&newest == request.table.get() || request.route->allowsAnonymous || !newest.hasAccounts()) {
         return std::nullopt;
@@ -80,23 +80,24 @@
     return unknownKey();
 }
 
-OwnAnswer AccessCheck::limited(Milliseconds retryAfter)
+LocalResponse AccessCheck::limited(Milliseconds retryAfter)
 {
     limited_.add();
     return {statusTooMany, "the account is over its limit", retryAfter};
 }
 
-asio::awaitable<std::optional<OwnAnswer>> AccessCheck::admit(ForwardedRequest &request)
+asio::awaitable<std::optional<LocalResponse>> AccessCheck::admit(ForwardedRequest &request)
 {
     if (!request.isLimited || request.isTurn()) {
         co_return std::nullopt;
     }
     AdmitRequest ask {request.account, scopedId(request.account, request.facts.id)};
     const std::optional<AdmitReply> reply
-        = co_await parts_.ledger.admit(std::move(ask), std::min(request.deadline, request.arrived + admitPatience));
+        = co_await parts_.ledger.admit(std::move(ask), std::min(request.deadline, request.arrived + admitTimeout));
     request.waited = std::chrono::duration_cast<Milliseconds>(std::chrono::steady_clock::now() - request.arrived);
     if (!reply) {
-        co_return OwnAnswer {statusUnavailable, "nobody can say whether the account's limit allows it", comeBackSoon};
+        co_return LocalResponse {statusUnavailable, "nobody can say whether the account's limit allows it",
+                                 retryAfterShort};
     }
     if (reply->status == AdmitStatus::Limited) {
         co_return limited(Milliseconds(reply->retryAfterMs));
--- a/src/gateway/cp_access_check.hpp
+++ b/src/gateway/cp_access_check.hpp
@@ -13,7 +13,7 @@
 {
 public:
     struct Parts {
-        const IDialect &dialect;
+        const IPlatformAdapter &adapter;
         const GatewaySettings &settings;
         LedgerClient &ledger;
         MetricRegistry &metrics;
@@ -22,17 +22,17 @@
     explicit AccessCheck(Parts parts);
 
     //! Notes the request's account. \returns the refusal; nothing when it may go on
-    [[nodiscard]] std::optional<OwnAnswer> identify(ForwardedRequest &request);
+    [[nodiscard]] std::optional<LocalResponse> identify(ForwardedRequest &request);
     //! Checks a request that has waited against a newer document. \returns the refusal; nothing when it may go on
-    [[nodiscard]] std::optional<OwnAnswer> recheck(const ForwardedRequest &request, const RouteTable &newest);
+    [[nodiscard]] std::optional<LocalResponse> recheck(const ForwardedRequest &request, const RouteTable &newest);
     //! Waits until the account's limit allows the request, unless its turn's begin asks for that.
     //! \returns the refusal; nothing when it may go on
-    boost::asio::awaitable<std::optional<OwnAnswer>> admit(ForwardedRequest &request);
+    boost::asio::awaitable<std::optional<LocalResponse>> admit(ForwardedRequest &request);
     //! The answer to a request beyond the limit.
-    [[nodiscard]] OwnAnswer limited(Milliseconds retryAfter);
+    [[nodiscard]] LocalResponse limited(Milliseconds retryAfter);
 
 private:
-    [[nodiscard]] OwnAnswer unknownKey();
+    [[nodiscard]] LocalResponse unknownKey();
     [[nodiscard]] bool isCutOff() const;
 
     Parts parts_;
--- a/src/gateway/cp_backend_exchange.cpp
+++ b/src/gateway/cp_backend_exchange.cpp
@@ -96,13 +96,13 @@
     return request_.hasStarted ? ExchangeEnd::BrokeOff : ExchangeEnd::Unanswered;
 }
 
-asio::awaitable<ExchangeEnd> BackendExchange::run(std::optional<Milliseconds> patience)
+asio::awaitable<ExchangeEnd> BackendExchange::run(std::optional<Milliseconds> responseTimeout)
 {
     begun_ = timeNow();
     const TimePoint deadline = request_.deadline + deadlineSlack;
     // Guards against a server that ran the request and whose answer is lost: it shows as silence until the caller has
     // given up. What may be repeated goes to another server in time.
-    connection_->stream.expires_at(patience ? std::min(deadline, begun_ + *patience) : deadline);
+    connection_->stream.expires_at(responseTimeout ? std::min(deadline, begun_ + *responseTimeout) : deadline);
     const bool isSent = co_await send();
     if (!isSent) {
         request_.detail = "the request could not be written";
@@ -135,7 +135,7 @@
     if (isStream) {
         co_return co_await relayStream();
     }
-    co_return co_await relayWhole();
+    co_return co_await relayComplete();
 }
 
 std::optional<Milliseconds> BackendExchange::silence() const
@@ -278,7 +278,7 @@
     parts_.pool.keep(*backend_, connection_, now);
 }
 
-asio::awaitable<ExchangeEnd> BackendExchange::relayWhole()
+asio::awaitable<ExchangeEnd> BackendExchange::relayComplete()
 {
     CallerConnection &caller = *request_.caller;
     std::string body;
@@ -385,12 +385,12 @@
     if (request_.begin && request_.route->keepsHistory) {
         // A turn counts from the end of its answer on; so its end leaves only once a quorum has the turn.
         const bool isDurable
-            = co_await parts_.ledger.finish(request_.finish(TurnEnding::Whole), timeNow() + durableTimeout);
+            = co_await parts_.ledger.finish(request_.finish(TurnEnding::Complete), timeNow() + durableTimeout);
         if (!isDurable) {
             co_return ExchangeEnd::NotDurable;
         }
     }
-    request_.isWhole = true;
+    request_.isComplete = true;
     std::string out = std::exchange(head_, {});
     request_.hasStarted = true;
     out += "0\r\n\r\n";
--- a/src/gateway/cp_backend_exchange.hpp
+++ b/src/gateway/cp_backend_exchange.hpp
@@ -23,8 +23,8 @@
     BackendExchange(Parts parts, ForwardedRequest &request, std::shared_ptr<BackendState> backend,
                     std::shared_ptr<BackendConnection> connection);
 
-    //! \param patience  how long to wait for the head of an answer; nothing to wait until the request's deadline
-    boost::asio::awaitable<ExchangeEnd> run(std::optional<Milliseconds> patience);
+    //! \param responseTimeout  how long to wait for the head of an answer; nothing to wait until the request's deadline
+    boost::asio::awaitable<ExchangeEnd> run(std::optional<Milliseconds> responseTimeout);
     //! From the sending to the head of the answer; nothing when there was none.
     [[nodiscard]] std::optional<Milliseconds> answerTime() const
     {
@@ -42,7 +42,7 @@
     boost::asio::awaitable<boost::system::error_code> readHead();
     boost::asio::awaitable<bool> discardForeign();
     boost::asio::awaitable<boost::system::error_code> readSome(std::string &bytes);
-    boost::asio::awaitable<ExchangeEnd> relayWhole();
+    boost::asio::awaitable<ExchangeEnd> relayComplete();
     boost::asio::awaitable<ExchangeEnd> relayStream();
     boost::asio::awaitable<bool> passOn(std::string bytes);
     boost::asio::awaitable<ExchangeEnd> endStream();
--- a/src/gateway/cp_backend_pool.cpp
+++ b/src/gateway/cp_backend_pool.cpp
@@ -59,7 +59,7 @@
 constexpr unsigned lostUntilLeftOut = 2;
 constexpr Milliseconds leaveOutFor {1000};
 // The share of a service's servers that may be left out for lost requests at once.
-constexpr double mostLeftOut = 0.34;
+constexpr double maxAvoidedShare = 0.34;
 
 bool looksAlive(BackendConnection &connection)
 {
@@ -112,7 +112,7 @@
     // Also here, and not at the list's reader only: a new leader has no list before its first one.
     for (const BackendServer &server : latestIncarnations(list.servers, servers())) {
         const auto known = byId_.find(server.id);
-        const bool isKnown = known != byId_.end() && known->second->server_.born == server.born;
+        const bool isKnown = known != byId_.end() && known->second->server_.incarnation == server.incarnation;
         // Guards against what was known of the incarnation before: its connections are dead, its load is gone, and
         // what it lost says nothing of the one that runs now.
         auto state = isKnown ? known->second : std::make_shared<BackendState>(server);
@@ -306,11 +306,11 @@
     if (backend.lostInARow_ < lostUntilLeftOut || service == byService_.end()) {
         return false;
     }
-    const auto leftOut = std::count_if(service->second.begin(), service->second.end(),
-                                       [&](const auto &other) { return other->isAvoided(now); });
+    const auto avoidedBackends = std::count_if(service->second.begin(), service->second.end(),
+                                               [&](const auto &other) { return other->isAvoided(now); });
     // Guards against overload of the rest: servers that lose a few answers each still do most of the work.
-    const auto most = static_cast<double>(service->second.size()) * mostLeftOut;
-    if (static_cast<double>(leftOut) >= most) {
+    const auto most = static_cast<double>(service->second.size()) * maxAvoidedShare;
+    if (static_cast<double>(avoidedBackends) >= most) {
         return false;
     }
     backend.avoid(now + leaveOutFor);
--- a/src/gateway/cp_caller_connection.cpp
+++ b/src/gateway/cp_caller_connection.cpp
@@ -71,7 +71,7 @@
     co_return !isGone_;
 }
 
-asio::awaitable<bool> CallerConnection::answer(OwnAnswer own)
+asio::awaitable<bool> CallerConnection::answer(LocalResponse own)
 {
     const std::string body = fmt::format("{{\"error\":\"{}\"}}", own.reason);
     std::string text
--- a/src/gateway/cp_caller_connection.hpp
+++ b/src/gateway/cp_caller_connection.hpp
@@ -19,7 +19,7 @@
 using CallerRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
 //! An answer that the system gives itself.
-struct OwnAnswer {
+struct LocalResponse {
     unsigned status = 503;
     std::string_view reason;
     //! Set where the request has not run and coming back makes sense.
@@ -53,7 +53,7 @@
 
     //! Each gives false when the caller is gone.
     boost::asio::awaitable<bool> write(std::string bytes);
-    boost::asio::awaitable<bool> answer(OwnAnswer answer);
+    boost::asio::awaitable<bool> answer(LocalResponse answer);
 
     //! After an answer that broke off, so that nobody takes it for whole.
     void abort();
--- a/src/gateway/cp_consensus_driver.cpp
+++ b/src/gateway/cp_consensus_driver.cpp
@@ -1,6 +1,6 @@
 #include "cp_consensus_driver.hpp"
 
-#include <cardamompost/consensus/cp_log_cut.hpp>
+#include <cardamompost/consensus/cp_compaction_policy.hpp>
 #include <cardamompost/core/cp_invariant.hpp>
 
 #include <boost/asio/post.hpp>
@@ -47,7 +47,7 @@
         snapshotBytes_ = stored.snapshot.state.size();
     }
     applied_ = stored.snapshot.index;
-    cutTurn_ = static_cast<unsigned>(stableHash(options.self) % LogCut::turns);
+    cutTurn_ = static_cast<unsigned>(stableHash(options.self) % CompactionPolicy::turns);
     node_.emplace(std::move(options), std::move(stored), initial, timeNow());
     scheduleTick();
     return boost::outcome_v2::success();
@@ -256,7 +256,7 @@
     }
 }
 
-bool ConsensusDriver::hasLearnerBehind() const
+bool ConsensusDriver::hasLaggingLearner() const
 {
     const std::set<VmName> &learners = node_->membership().learners;
     return node_->role() == RaftRole::Leader
@@ -267,7 +267,7 @@
 
 void ConsensusDriver::compactIfLong()
 {
-    const LogCut cut {bytesSinceSnapshot_, snapshotBytes_, hasLearnerBehind(), cutTurn_};
+    const CompactionPolicy cut {bytesSinceSnapshot_, snapshotBytes_, hasLaggingLearner(), cutTurn_};
     if (!snapshotParts_.empty() || !cut.isDue()) {
         return;
     }
--- a/src/gateway/cp_consensus_driver.hpp
+++ b/src/gateway/cp_consensus_driver.hpp
@@ -69,9 +69,9 @@
     {
         return *node_;
     }
-    [[nodiscard]] bool isSettledLeader() const
+    [[nodiscard]] bool isEstablishedLeader() const
     {
-        return isRunning() && node_->isSettledLeader();
+        return isRunning() && node_->isEstablishedLeader();
     }
     [[nodiscard]] bool hasLease() const
     {
@@ -119,7 +119,7 @@
     //! Writes a snapshot's parts one after the other, so that what a leader sends and promises waits for one part only.
     void storeSnapshot();
     //! This member leads, and a learner that answers lacks entries.
-    [[nodiscard]] bool hasLearnerBehind() const;
+    [[nodiscard]] bool hasLaggingLearner() const;
     void failWaiting();
 
     Parts parts_;
--- a/src/gateway/cp_directory_server.cpp
+++ b/src/gateway/cp_directory_server.cpp
@@ -1,6 +1,6 @@
 #include "cp_directory_server.hpp"
 
-#include "cp_own_responses.hpp"
+#include "cp_local_responses.hpp"
 
 namespace cardamompost
 {
@@ -42,7 +42,7 @@
     if (addresses.empty()) {
         return unavailableResponse("no entry is known to take requests now");
     }
-    return jsonResponse(statusOk, parts_.dialect.writeDirectory(addresses, lifetimeFor(domain, now)));
+    return jsonResponse(statusOk, parts_.adapter.writeDirectory(addresses, lifetimeFor(domain, now)));
 }
 
 Milliseconds DirectoryServer::lifetimeFor(const std::string &domain, TimePoint now) const
@@ -52,7 +52,7 @@
     // the more of those that they ask first are dark. Lives are short otherwise, and no longer than that, since callers
     // go on connecting to entries that froze meanwhile.
     const GatewaySettings &settings = parts_.settings;
-    const double dark = parts_.presence.darkShare(domain, now);
+    const double dark = parts_.presence.unreachableShare(domain, now);
     const auto more = static_cast<double>((settings.directoryLifetimeDark - settings.directoryLifetime).count());
     return settings.directoryLifetime + Milliseconds(static_cast<std::int64_t>(more * dark));
 }
@@ -60,7 +60,7 @@
 asio::awaitable<void> DirectoryServer::onRequest(HttpRequest &request, IHttpResponder &responder)
 {
     HttpResponse response = failureResponse(statusNotFound, "no such path");
-    if (request.path == parts_.dialect.paths().directory) {
+    if (request.path == parts_.adapter.paths().directory) {
         response = answerFrom(request);
     } else if (request.path == "/metrics") {
         response = HttpResponse {statusOk, {}, parts_.metrics.text()};
--- a/src/gateway/cp_directory_server.hpp
+++ b/src/gateway/cp_directory_server.hpp
@@ -4,7 +4,7 @@
 #include "cp_gateway_settings.hpp"
 #include "cp_presence_table.hpp"
 
-#include <cardamompost/edge/cp_idialect.hpp>
+#include <cardamompost/edge/cp_iplatform_adapter.hpp>
 #include <cardamompost/net/cp_http_server.hpp>
 #include <cardamompost/observe/cp_metrics.hpp>
 
@@ -18,7 +18,7 @@
     struct Parts {
         boost::asio::io_context &io;
         const GatewaySettings &settings;
-        const IDialect &dialect;
+        const IPlatformAdapter &adapter;
         const PresenceTable &presence;
         MetricRegistry &metrics;
     };
--- a/src/gateway/cp_document_lag.hpp
+++ b/src/gateway/cp_document_staleness.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_DOCUMENT_LAG_HPP_INCLUDED
-#define CARDAMOMPOST_CP_DOCUMENT_LAG_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_DOCUMENT_STALENESS_HPP_INCLUDED
+#define CARDAMOMPOST_CP_DOCUMENT_STALENESS_HPP_INCLUDED
 
 #include <cardamompost/core/cp_time.hpp>
 
@@ -10,7 +10,7 @@
 {
 
 //! Since when an entry knows that there is a newer document than the one it goes by. Thread-safety: none.
-class DocumentLag
+class DocumentStaleness
 {
 public:
     //! \param newest  as the ledger's leader says
@@ -31,12 +31,12 @@
         }
     }
 
-    [[nodiscard]] bool isBehind() const
+    [[nodiscard]] bool isStale() const
     {
         return since_.has_value();
     }
     //! 0 while the newest one that was heard of is in force.
-    [[nodiscard]] Milliseconds behindFor(TimePoint now) const
+    [[nodiscard]] Milliseconds staleFor(TimePoint now) const
     {
         return since_ ? std::chrono::duration_cast<Milliseconds>(now - *since_) : Milliseconds(0);
     }
@@ -53,4 +53,4 @@
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_DOCUMENT_LAG_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_DOCUMENT_STALENESS_HPP_INCLUDED
--- a/src/gateway/cp_entry_news.cpp
+++ b/src/gateway/cp_entry_replica.cpp
@@ -1,4 +1,4 @@
-#include "cp_entry_news.hpp"
+#include "cp_entry_replica.hpp"
 
 namespace cardamompost
 {
@@ -7,7 +7,7 @@
 {
 
 // A newer document is in force everywhere within a second or two; an entry that needs longer says so.
-constexpr Milliseconds longBehind {1000};
+constexpr Milliseconds maxStaleness {1000};
 
 //! Adds what has come. \returns true once it is the whole of what the ledger's leader has. Errors: InvalidRequest; then
 //! nothing is held any more, so that all of it is asked for anew.
@@ -15,8 +15,8 @@
 Result<bool> takeDelta(Buckets &held, const ContentDelta &delta)
 {
     Result<void> taken = held.take(delta.buckets);
-    const bool isWhole = taken.has_value() && delta.rest == 0;
-    if (isWhole && held.checksum() != delta.checksum) {
+    const bool isComplete = taken.has_value() && delta.rest == 0;
+    if (isComplete && held.checksum() != delta.checksum) {
         // Guards against two different buckets with one short digest: the one would be kept for the other for good.
         taken = makeError(ErrorKind::InvalidRequest, "the parts do not make the whole");
     }
@@ -24,56 +24,56 @@
         held = {};
         return taken.error();
     }
-    return isWhole;
+    return isComplete;
 }
 
 } // namespace
 
-std::uint64_t EntryNews::documentVersion() const
+std::uint64_t EntryReplica::documentVersion() const
 {
     return parts_.forwarder.table() ? parts_.forwarder.table()->version() : 0;
 }
 
-void EntryNews::take(const NewsReply &news)
+void EntryReplica::take(const UpdateReply &update)
 {
-    takeDocument(news);
-    takeList(news);
+    takeDocument(update);
+    takeList(update);
     parts_.ledger.setKnown(
         {documentVersion(), parts_.pool.version(), documentBuckets_.digests(), listBuckets_.digests()});
-    noteBehind();
+    logIfStale();
 }
 
-void EntryNews::takeDocument(const NewsReply &news)
+void EntryReplica::takeDocument(const UpdateReply &update)
 {
     const std::uint64_t known = documentVersion();
     // An entry never goes back: whoever answers, an older version than the one in force is not taken.
-    if (!news.documentDelta || news.documentVersion <= known) {
+    if (!update.documentDelta || update.documentVersion <= known) {
         return;
     }
-    const Result<bool> taken = takeDelta(documentBuckets_, *news.documentDelta);
+    const Result<bool> taken = takeDelta(documentBuckets_, *update.documentDelta);
     if (!taken) {
         parts_.log.write(LogLevel::Error, "document.unreadable",
-                         {{"version", news.documentVersion}, {"error", taken.error().message}});
+                         {{"version", update.documentVersion}, {"error", taken.error().message}});
         return;
     }
     if (!taken.value()) {
         return;
     }
     RouteDocument document = documentBuckets_.content();
-    document.version = news.documentVersion;
+    document.version = update.documentVersion;
     parts_.forwarder.setTable(std::make_shared<const RouteTable>(std::move(document)));
     parts_.log.info("document.in_force",
-                    {{"version", news.documentVersion},
+                    {{"version", update.documentVersion},
                      {"before", known},
-                     {"behind_ms", parts_.ledger.lag().behindFor(std::chrono::steady_clock::now()).count()}});
+                     {"behind_ms", parts_.ledger.lag().staleFor(std::chrono::steady_clock::now()).count()}});
 }
 
-void EntryNews::takeList(const NewsReply &news)
+void EntryReplica::takeList(const UpdateReply &update)
 {
-    if (!news.listDelta || news.list <= parts_.pool.version()) {
+    if (!update.listDelta || update.list <= parts_.pool.version()) {
         return;
     }
-    const Result<bool> taken = takeDelta(listBuckets_, *news.listDelta);
+    const Result<bool> taken = takeDelta(listBuckets_, *update.listDelta);
     if (!taken) {
         parts_.log.warn("backends.unreadable", {{"error", taken.error().message}});
         return;
@@ -82,24 +82,24 @@
         return;
     }
     const std::vector<BackendServer> servers = listBuckets_.content();
-    parts_.pool.setList({news.list, servers});
+    parts_.pool.setList({update.list, servers});
     parts_.log.info("backends.taken",
-                    {{"term", news.list.term},
-                     {"sequence", news.list.sequence},
+                    {{"term", update.list.term},
+                     {"sequence", update.list.sequence},
                      {"servers", servers.size()},
-                     {"buckets", news.listDelta->buckets.size()},
-                     {"age_ms", news.listAgeMs}});
+                     {"buckets", update.listDelta->buckets.size()},
+                     {"age_ms", update.listAgeMs}});
 }
 
-void EntryNews::noteBehind()
+void EntryReplica::logIfStale()
 {
-    const DocumentLag &lag = parts_.ledger.lag();
-    const Milliseconds behind = lag.behindFor(std::chrono::steady_clock::now());
-    if (behind > longBehind && !hasToldBehind_) {
+    const DocumentStaleness &lag = parts_.ledger.lag();
+    const Milliseconds behind = lag.staleFor(std::chrono::steady_clock::now());
+    if (behind > maxStaleness && !hasLoggedStale_) {
         parts_.log.warn("document.behind",
                         {{"version", documentVersion()}, {"newest", lag.newest()}, {"ms", behind.count()}});
     }
-    hasToldBehind_ = behind > longBehind;
+    hasLoggedStale_ = behind > maxStaleness;
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_entry_news.hpp
+++ b/src/gateway/cp_entry_replica.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_ENTRY_NEWS_HPP_INCLUDED
-#define CARDAMOMPOST_CP_ENTRY_NEWS_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_ENTRY_REPLICA_HPP_INCLUDED
+#define CARDAMOMPOST_CP_ENTRY_REPLICA_HPP_INCLUDED
 
 #include "cp_forwarder.hpp"
 
@@ -8,7 +8,7 @@
 
 //! What an entry holds of the ledger's news: the document and the list that it goes by, and what has come so far of
 //! newer ones. Those take their place whole, never in part. Thread-safety: none.
-class EntryNews
+class EntryReplica
 {
 public:
     struct Parts {
@@ -18,12 +18,12 @@
         EventLog &log;
     };
 
-    explicit EntryNews(Parts parts)
+    explicit EntryReplica(Parts parts)
         : parts_(parts)
     {
     }
 
-    void take(const NewsReply &news);
+    void take(const UpdateReply &update);
     //! There is a document and a list to go by.
     [[nodiscard]] bool isComplete() const
     {
@@ -32,17 +32,17 @@
 
 private:
     [[nodiscard]] std::uint64_t documentVersion() const;
-    void takeDocument(const NewsReply &news);
-    void takeList(const NewsReply &news);
+    void takeDocument(const UpdateReply &update);
+    void takeList(const UpdateReply &update);
     //! Says so, once, when this entry has gone by an old document for long.
-    void noteBehind();
+    void logIfStale();
 
     Parts parts_;
     DocumentBuckets documentBuckets_;
     BackendBuckets listBuckets_;
-    bool hasToldBehind_ = false;
+    bool hasLoggedStale_ = false;
 };
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_ENTRY_NEWS_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_ENTRY_REPLICA_HPP_INCLUDED
--- a/src/gateway/cp_entry_server.cpp
+++ b/src/gateway/cp_entry_server.cpp
@@ -36,21 +36,21 @@
 constexpr unsigned statusUnavailable = 503;
 
 //! The answer to a request that could not be read; nothing when the caller just went.
-std::optional<OwnAnswer> unreadable(const boost::system::error_code &error)
+std::optional<LocalResponse> unreadable(const boost::system::error_code &error)
 {
     if (error == http::error::body_limit) {
-        return OwnAnswer {statusTooLarge, "the body is longer than allowed", {}};
+        return LocalResponse {statusTooLarge, "the body is longer than allowed", {}};
     }
     if (error == http::error::header_limit || error == http::error::buffer_overflow) {
-        return OwnAnswer {statusHeadersTooLarge, "the headers are longer than allowed", {}};
+        return LocalResponse {statusHeadersTooLarge, "the headers are longer than allowed", {}};
     }
     if (error == beast::error::timeout) {
-        return OwnAnswer {statusRequestTimeout, "the request did not arrive in time", {}};
+        return LocalResponse {statusRequestTimeout, "the request did not arrive in time", {}};
     }
     const bool isMalformed = error.category() == make_error_code(http::error::bad_method).category()
         && error != http::error::end_of_stream && error != http::error::partial_message;
     if (isMalformed) {
-        return OwnAnswer {statusInvalid, "the request is not HTTP/1.1", {}};
+        return LocalResponse {statusInvalid, "the request is not HTTP/1.1", {}};
     }
     return std::nullopt;
 }
@@ -61,8 +61,8 @@
     : parts_(parts)
     , ledger_({parts.io, parts.settings, parts.peers, parts.log, parts.metrics})
     , pool_(parts.settings.vm, parts.settings.failureDomain, parts.metrics)
-    , forwarder_({parts.io, parts.dialect, parts.settings, pool_, ledger_, parts.log, parts.metrics})
-    , news_({forwarder_, pool_, ledger_, parts.log})
+    , forwarder_({parts.io, parts.adapter, parts.settings, pool_, ledger_, parts.log, parts.metrics})
+    , replica_({forwarder_, pool_, ledger_, parts.log})
     , ready_(
           parts.io.get_executor(), HttpLimits {},
           [this](HttpRequest &request, IHttpResponder &responder) { return onReady(request, responder); },
@@ -81,8 +81,8 @@
     BOOST_OUTCOME_TRYV(openAcceptor(acceptor_, parts_.settings.front));
     BOOST_OUTCOME_TRYV(ready_.listen(parts_.settings.ready));
     asio::co_spawn(parts_.io, accept(), asio::detached);
-    ledger_.start([this](const NewsReply &news) {
-        news_.take(news);
+    ledger_.start([this](const UpdateReply &update) {
+        replica_.take(update);
         tellIfChanged();
     });
     keepTelling();
@@ -91,7 +91,7 @@
 
 bool EntryServer::isReady() const
 {
-    return !isDraining_ && news_.isComplete();
+    return !isDraining_ && replica_.isComplete();
 }
 
 void EntryServer::tellIfChanged()
@@ -191,7 +191,7 @@
         }
         stream.expires_never();
         if (error) {
-            const std::optional<OwnAnswer> refusal = unreadable(error);
+            const std::optional<LocalResponse> refusal = unreadable(error);
             caller->closeAfterAnswer();
             if (refusal) {
                 parts_.log.info("request.unreadable", {{"status", refusal->status}, {"error", error.message()}});
--- a/src/gateway/cp_entry_server.hpp
+++ b/src/gateway/cp_entry_server.hpp
@@ -1,7 +1,7 @@
 #ifndef CARDAMOMPOST_CP_ENTRY_SERVER_HPP_INCLUDED
 #define CARDAMOMPOST_CP_ENTRY_SERVER_HPP_INCLUDED
 
-#include "cp_entry_news.hpp"
+#include "cp_entry_replica.hpp"
 #include "cp_gateway_settings.hpp"
 
 #include <cardamompost/net/cp_http_server.hpp>
@@ -16,7 +16,7 @@
     struct Parts {
         boost::asio::io_context &io;
         const GatewaySettings &settings;
-        const IDialect &dialect;
+        const IPlatformAdapter &adapter;
         PeerClients &peers;
         EventLog &log;
         MetricRegistry &metrics;
@@ -33,7 +33,7 @@
     //! True once no request is under way.
     [[nodiscard]] bool isIdle() const
     {
-        return forwarder_.underWay() == 0;
+        return forwarder_.inFlight() == 0;
     }
     [[nodiscard]] bool hasLeader() const
     {
@@ -56,7 +56,7 @@
     LedgerClient ledger_;
     BackendPool pool_;
     Forwarder forwarder_;
-    EntryNews news_;
+    EntryReplica replica_;
     HttpServer ready_;
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::steady_timer timer_;
--- a/src/gateway/cp_forwarded_request.hpp
+++ b/src/gateway/cp_forwarded_request.hpp
@@ -66,7 +66,7 @@
     std::string partialEvent;
     //! True once the head of an answer has been written.
     bool hasStarted = false;
-    bool isWhole = false;
+    bool isComplete = false;
 
     //! Servers that had the request, and how often it may have run.
     std::set<std::string> tried;
@@ -106,7 +106,7 @@
         return route->kind == RouteKind::Streaming && (route->keepsHistory || facts.budget >= 0);
     }
     //! True when the same request may run more than once.
-    [[nodiscard]] bool mayRepeat() const
+    [[nodiscard]] bool isRepeatable() const
     {
         return route->kind == RouteKind::Safe || (route->kind == RouteKind::Streaming && route->isResumable);
     }
--- a/src/gateway/cp_forwarder.cpp
+++ b/src/gateway/cp_forwarder.cpp
@@ -24,9 +24,9 @@
 // Callers give a stream up after two seconds of silence, and a plain call near its deadline.
 constexpr Milliseconds mute {900};
 // Longest wait for the ledger before a turn is refused; an election of a new leader fits in.
-constexpr Milliseconds beginPatience {1750};
+constexpr Milliseconds beginTimeout {1750};
 constexpr Milliseconds settleTimeout {6000};
-constexpr Milliseconds comeBackSoon {250};
+constexpr Milliseconds retryAfterShort {250};
 constexpr Milliseconds comeBackLater {500};
 // Servers that may say that they did not run a request before its caller is told so.
 constexpr unsigned maxSends = 4;
@@ -54,7 +54,7 @@
 Forwarder::Forwarder(Parts parts)
     : parts_(parts)
     , report_({parts.pool, parts.ledger, parts.log, parts.metrics})
-    , access_({parts.dialect, parts.settings, parts.ledger, parts.metrics})
+    , access_({parts.adapter, parts.settings, parts.ledger, parts.metrics})
     , silences_(parts.metrics.counter("cardamompost_answers_given_up_total"))
     , lost_(parts.metrics.counter("cardamompost_backend_lost_total"))
     , repeated_(parts.metrics.counter("cardamompost_requests_repeated_total"))
@@ -70,7 +70,7 @@
 
 Forwarder::Repeats *Forwarder::repeatsOf(const ForwardedRequest &request)
 {
-    const bool isRepeatable = request.mayRepeat() && request.route->maxAttempts > 1;
+    const bool isRepeatable = request.isRepeatable() && request.route->maxAttempts > 1;
     return isRepeatable ? &repeats_[request.route->name] : nullptr;
 }
 
@@ -81,7 +81,7 @@
     request.message = std::move(message);
     request.caller = std::move(caller);
     request.table = table_;
-    ++underWay_;
+    ++inFlight_;
     request.caller->watch([&request] {
         if (request.current) {
             request.current->stream.cancel();
@@ -89,7 +89,7 @@
     });
     co_await run(request);
     request.caller->watch({});
-    --underWay_;
+    --inFlight_;
     report_.end(request);
 }
 
@@ -104,36 +104,36 @@
     }
     const std::string &spread = request.facts.program.empty() ? request.facts.id : request.facts.program;
     request.service = request.table->service(RouteTable::pickService(*request.route, stableHash(spread)));
-    const Milliseconds patience = request.facts.patience.value_or(request.route->timeout);
-    request.deadline = request.arrived + std::min(patience, request.route->timeout);
+    const Milliseconds callerTimeout = request.facts.callerTimeout.value_or(request.route->timeout);
+    request.deadline = request.arrived + std::min(callerTimeout, request.route->timeout);
     return true;
 }
 
-OwnAnswer Forwarder::noRoute() const
+LocalResponse Forwarder::noRoute() const
 {
     if (parts_.ledger.hasNewestDocument()) {
         return {statusNotFound, "no route for this host and path", Milliseconds(0)};
     }
     // Guards callers of a route that was added a moment ago: a 404 is final for them, and an entry that is cut off, or
     // to which the newest document is still on its way, can't know that there is no such route.
-    return {statusUnavailable, "no route is known, and the document may be old", comeBackSoon};
+    return {statusUnavailable, "no route is known, and the document may be old", retryAfterShort};
 }
 
 asio::awaitable<void> Forwarder::run(ForwardedRequest &request)
 {
     // Before anything is decided: a request that is refused at once is looked for by its id too.
-    request.facts = readFacts(request.message, parts_.dialect.headers());
+    request.facts = readFacts(request.message, parts_.adapter.headers());
     const std::string unreadable = "the header '" + request.facts.fault + "' can't be read";
-    OwnAnswer refusal;
+    LocalResponse refusal;
     if (!request.facts.fault.empty()) {
         refusal = {statusInvalid, unreadable, Milliseconds(0)};
     } else if (!request.table) {
         refusal = {statusUnavailable, "no configuration is known yet", comeBackLater};
     } else if (!findRoute(request)) {
         refusal = noRoute();
-    } else if (const std::optional<OwnAnswer> denied = access_.identify(request)) {
+    } else if (const std::optional<LocalResponse> denied = access_.identify(request)) {
         refusal = *denied;
-    } else if (const std::optional<OwnAnswer> limited = co_await access_.admit(request)) {
+    } else if (const std::optional<LocalResponse> limited = co_await access_.admit(request)) {
         refusal = *limited;
     }
     if (!refusal.reason.empty()) {
@@ -147,25 +147,25 @@
     }
 }
 
-asio::awaitable<void> Forwarder::refuse(ForwardedRequest &request, OwnAnswer refusal)
+asio::awaitable<void> Forwarder::refuse(ForwardedRequest &request, LocalResponse refusal)
 {
     request.status = refusal.status;
     request.cause = refusal.reason;
     co_await request.caller->answer(refusal);
 }
 
-PlacementWish Forwarder::wishOf(const ForwardedRequest &request) const
+PlacementRequest Forwarder::placementRequestFor(const ForwardedRequest &request) const
 {
     const TimePoint now = timeNow();
-    PlacementWish wish;
-    wish.service = request.service->name;
-    wish.failureDomain = parts_.pool.failureDomain();
-    wish.rank = request.rank();
-    wish.programTimeLeftMs = request.facts.programTimeLeft.value_or(Milliseconds(0)).count();
-    wish.patienceMs = static_cast<std::uint32_t>(
+    PlacementRequest placement;
+    placement.service = request.service->name;
+    placement.failureDomain = parts_.pool.failureDomain();
+    placement.rank = request.rank();
+    placement.programTimeLeftMs = request.facts.programTimeLeft.value_or(Milliseconds(0)).count();
+    placement.timeLeftMs = static_cast<std::uint32_t>(
         std::max<std::int64_t>(0, std::chrono::duration_cast<Milliseconds>(request.deadline - now).count()));
-    wish.unreachable = parts_.pool.avoided(request.service->name, now);
-    return wish;
+    placement.unreachable = parts_.pool.avoided(request.service->name, now);
+    return placement;
 }
 
 std::shared_ptr<BackendState> Forwarder::choose(ForwardedRequest &request)
@@ -202,16 +202,16 @@
     begin.budget = request.facts.budget;
     begin.retentionMs = request.finish(TurnEnding::NotRun).retentionMs;
     if (request.service->isEngine) {
-        begin.wish = wishOf(request);
+        begin.placement = placementRequestFor(request);
     }
-    request.begin = parts_.ledger.begin(std::move(begin), std::min(request.deadline, request.arrived + beginPatience));
+    request.begin = parts_.ledger.begin(std::move(begin), std::min(request.deadline, request.arrived + beginTimeout));
     co_await request.begin->untilTentative();
     request.waited = std::chrono::duration_cast<Milliseconds>(timeNow() - request.arrived);
     if (request.begin->isTentative()) {
         co_return true;
     }
-    OwnAnswer refusal {statusUnavailable, "the ledger can't be reached", comeBackSoon};
-    if (request.begin->status() == TurnBeginStatus::Spent) {
+    LocalResponse refusal {statusUnavailable, "the ledger can't be reached", retryAfterShort};
+    if (request.begin->status() == TurnBeginStatus::BudgetExhausted) {
         refusal = {statusSpent, "the program's budget does not hold the turn", Milliseconds(0)};
     } else if (request.begin->status() == TurnBeginStatus::NoSuchTurn) {
         refusal = {statusNotFound, "no such turn to continue", Milliseconds(0)};
@@ -264,7 +264,7 @@
             co_return;
         }
         if (!request.hasStarted) {
-            if (const std::optional<OwnAnswer> denied = access_.recheck(request, *table_)) {
+            if (const std::optional<LocalResponse> denied = access_.recheck(request, *table_)) {
                 co_await refuse(request, *denied);
                 co_return;
             }
@@ -286,10 +286,10 @@
             continue;
         }
         request.lastBackend = id;
-        BackendExchange exchange({parts_.io, parts_.dialect.headers(), parts_.pool, parts_.ledger}, request, backend,
+        BackendExchange exchange({parts_.io, parts_.adapter.headers(), parts_.pool, parts_.ledger}, request, backend,
                                  request.current);
-        const std::optional<Milliseconds> patience = patienceFor(request);
-        const ExchangeEnd end = co_await exchange.run(patience);
+        const std::optional<Milliseconds> responseTimeout = responseTimeoutFor(request);
+        const ExchangeEnd end = co_await exchange.run(responseTimeout);
         request.current.reset();
         noteAnswer(request, end, exchange.answerTime());
         // Guards against a server that takes requests and answers nothing, while its health is good: it shows only by
@@ -319,7 +319,7 @@
     }
 }
 
-std::optional<Milliseconds> Forwarder::patienceFor(const ForwardedRequest &request)
+std::optional<Milliseconds> Forwarder::responseTimeoutFor(const ForwardedRequest &request)
 {
     const Repeats *repeats = repeatsOf(request);
     const bool mayGoElsewhere = repeats != nullptr && request.runs + 1 < request.route->maxAttempts
@@ -327,7 +327,7 @@
     if (!mayGoElsewhere) {
         return std::nullopt;
     }
-    return repeats->answers.patience(std::chrono::duration_cast<Milliseconds>(request.deadline - timeNow()));
+    return repeats->answers.responseTimeout(std::chrono::duration_cast<Milliseconds>(request.deadline - timeNow()));
 }
 
 void Forwarder::noteAnswer(const ForwardedRequest &request, ExchangeEnd end, std::optional<Milliseconds> time)
@@ -347,7 +347,7 @@
     request.tried.insert(backend);
     request.runs += end == ExchangeEnd::NotRun ? 0 : 1;
     const bool hasTime = timeNow() < request.deadline;
-    OwnAnswer final {statusBadGateway, "the backend server gave no answer", Milliseconds(0)};
+    LocalResponse final {statusBadGateway, "the backend server gave no answer", Milliseconds(0)};
     switch (end) {
     case ExchangeEnd::Answered:
     case ExchangeEnd::CallerGone:
@@ -357,7 +357,7 @@
             co_return true;
         }
         if (request.runs == 0) {
-            final = {statusUnavailable, "no backend server could run it", comeBackSoon};
+            final = {statusUnavailable, "no backend server could run it", retryAfterShort};
         }
         break;
     case ExchangeEnd::Unanswered:
@@ -391,13 +391,13 @@
 void Forwarder::settle(ForwardedRequest &request)
 {
     // The whole turn of a kept history is settled already, before its answer ended.
-    if (!request.begin || (request.isWhole && request.route->keepsHistory)) {
+    if (!request.begin || (request.isComplete && request.route->keepsHistory)) {
         return;
     }
-    const bool hasRun = request.runs > 0 || request.hasStarted || request.isWhole;
+    const bool hasRun = request.runs > 0 || request.hasStarted || request.isComplete;
     TurnEnding ending = hasRun ? TurnEnding::Broken : TurnEnding::NotRun;
-    if (request.isWhole) {
-        ending = TurnEnding::Whole;
+    if (request.isComplete) {
+        ending = TurnEnding::Complete;
     }
     auto work = [](LedgerClient &ledger, TurnFinish finish) -> asio::awaitable<void> {
         co_await ledger.finish(std::move(finish), timeNow() + settleTimeout);
--- a/src/gateway/cp_forwarder.hpp
+++ b/src/gateway/cp_forwarder.hpp
@@ -8,7 +8,7 @@
 #include "cp_request_report.hpp"
 
 #include <cardamompost/limits/cp_retry_budget.hpp>
-#include <cardamompost/policy/cp_answer_time.hpp>
+#include <cardamompost/policy/cp_response_time_tracker.hpp>
 
 namespace cardamompost
 {
@@ -22,7 +22,7 @@
 public:
     struct Parts {
         boost::asio::io_context &io;
-        const IDialect &dialect;
+        const IPlatformAdapter &adapter;
         const GatewaySettings &settings;
         BackendPool &pool;
         LedgerClient &ledger;
@@ -41,9 +41,9 @@
 
     //! Answers one request.
     boost::asio::awaitable<void> forward(CallerRequest message, std::shared_ptr<CallerConnection> caller);
-    [[nodiscard]] std::size_t underWay() const
+    [[nodiscard]] std::size_t inFlight() const
     {
-        return underWay_;
+        return inFlight_;
     }
 
 private:
@@ -51,7 +51,7 @@
     struct Repeats {
         Repeats();
 
-        AnswerTime answers;
+        ResponseTimeTracker answers;
         RetryBudget budget;
     };
 
@@ -60,8 +60,8 @@
     boost::asio::awaitable<void> run(ForwardedRequest &request);
     [[nodiscard]] bool findRoute(ForwardedRequest &request);
     //! The answer to a request without a route.
-    [[nodiscard]] OwnAnswer noRoute() const;
-    [[nodiscard]] PlacementWish wishOf(const ForwardedRequest &request) const;
+    [[nodiscard]] LocalResponse noRoute() const;
+    [[nodiscard]] PlacementRequest placementRequestFor(const ForwardedRequest &request) const;
     //! The next server to send to; null when there is none, or no time.
     [[nodiscard]] std::shared_ptr<BackendState> choose(ForwardedRequest &request);
     boost::asio::awaitable<bool> beginTurn(ForwardedRequest &request);
@@ -69,9 +69,9 @@
     boost::asio::awaitable<std::shared_ptr<BackendConnection>> connect(ForwardedRequest &request,
                                                                        std::shared_ptr<BackendState> backend);
     //! How long the next server may be silent; nothing when the request can't go to another one.
-    [[nodiscard]] std::optional<Milliseconds> patienceFor(const ForwardedRequest &request);
+    [[nodiscard]] std::optional<Milliseconds> responseTimeoutFor(const ForwardedRequest &request);
     //! Ends a request that is not sent.
-    boost::asio::awaitable<void> refuse(ForwardedRequest &request, OwnAnswer refusal);
+    boost::asio::awaitable<void> refuse(ForwardedRequest &request, LocalResponse refusal);
     void noteLost(BackendState &backend, const ForwardedRequest &request);
     void noteAnswer(const ForwardedRequest &request, ExchangeEnd end, std::optional<Milliseconds> time);
     boost::asio::awaitable<bool> goesOn(ForwardedRequest &request, ExchangeEnd end, const std::string &backend);
@@ -83,7 +83,7 @@
     std::shared_ptr<const RouteTable> table_;
     //! By route.
     std::unordered_map<std::string, Repeats> repeats_;
-    std::size_t underWay_ = 0;
+    std::size_t inFlight_ = 0;
     Counter &silences_;
     Counter &lost_;
     Counter &repeated_;
--- a/src/gateway/cp_gateway.cpp
+++ b/src/gateway/cp_gateway.cpp
@@ -44,10 +44,10 @@
 
 } // namespace
 
-Gateway::Gateway(GatewaySettings settings, std::unique_ptr<const IDialect> dialect, Reload reload,
+Gateway::Gateway(GatewaySettings settings, std::unique_ptr<const IPlatformAdapter> adapter, Reload reload,
                  OpenFolder openFolder)
     : settings_(std::move(settings))
-    , dialect_(std::move(dialect))
+    , adapter_(std::move(adapter))
     , reload_(std::move(reload))
     , openFolder_(std::move(openFolder))
     , io_(1)
@@ -85,7 +85,7 @@
 
 Result<void> Gateway::startEntry()
 {
-    entry_ = std::make_unique<EntryServer>(EntryServer::Parts {io_, settings_, *dialect_, peers_, log_, metrics_});
+    entry_ = std::make_unique<EntryServer>(EntryServer::Parts {io_, settings_, *adapter_, peers_, log_, metrics_});
     return entry_->start();
 }
 
@@ -104,9 +104,9 @@
     }
     BOOST_OUTCOME_TRYV(opened);
     ledger_ = std::make_unique<LedgerService>(
-        LedgerService::Parts {io_, settings_, *dialect_, *disk_, peers_, log_, metrics_});
-    api_ = std::make_unique<LedgerApi>(LedgerApi::Parts {io_, settings_, *dialect_, *ledger_, log_, metrics_});
-    listReader_ = std::make_unique<ListReader>(ListReader::Parts {io_, settings_, *dialect_, *ledger_, log_, metrics_});
+        LedgerService::Parts {io_, settings_, *adapter_, *disk_, peers_, log_, metrics_});
+    api_ = std::make_unique<LedgerApi>(LedgerApi::Parts {io_, settings_, *adapter_, *ledger_, log_, metrics_});
+    listReader_ = std::make_unique<ListReader>(ListReader::Parts {io_, settings_, *adapter_, *ledger_, log_, metrics_});
     peerServer_
         = std::make_unique<PeerServer>(io_.get_executor(), nullptr, traffic_,
                                        [this](FrameBody body, Milliseconds, std::shared_ptr<PeerReplier> replier) {
@@ -115,7 +115,7 @@
     BOOST_OUTCOME_TRYV(peerServer_->listen(settings_.peerListen));
     BOOST_OUTCOME_TRYV(api_->listen());
     directory_ = std::make_unique<DirectoryServer>(
-        DirectoryServer::Parts {io_, settings_, *dialect_, ledger_->presence(), metrics_});
+        DirectoryServer::Parts {io_, settings_, *adapter_, ledger_->presence(), metrics_});
     BOOST_OUTCOME_TRYV(directory_->listen());
     BOOST_OUTCOME_TRYV(ledger_->start());
     listReader_->start();
@@ -195,8 +195,8 @@
         ledger_->onAdmit(*admit, replier);
     } else if (auto *finish = std::get_if<TurnFinish>(&body)) {
         ledger_->onFinish(std::move(*finish), replier);
-    } else if (const auto *news = std::get_if<NewsRequest>(&body)) {
-        ledger_->onNews(*news, replier);
+    } else if (const auto *update = std::get_if<UpdateRequest>(&body)) {
+        ledger_->onUpdateRequest(*update, replier);
     } else if (const auto *texts = std::get_if<TurnTextsRequest>(&body)) {
         ledger_->onTurnTexts(*texts, replier);
     } else {
--- a/src/gateway/cp_gateway.hpp
+++ b/src/gateway/cp_gateway.hpp
@@ -20,7 +20,7 @@
     //! Opens a ledger VM's data folder.
     using OpenFolder = std::function<Result<std::unique_ptr<IFiles>>(const std::string &folder)>;
 
-    Gateway(GatewaySettings settings, std::unique_ptr<const IDialect> dialect, Reload reload,
+    Gateway(GatewaySettings settings, std::unique_ptr<const IPlatformAdapter> adapter, Reload reload,
             OpenFolder openFolder = openPosixFolder);
     ~Gateway();
     Gateway(const Gateway &) = delete;
@@ -67,7 +67,7 @@
     void onPeer(FrameBody body, const std::shared_ptr<PeerReplier> &replier);
 
     GatewaySettings settings_;
-    std::unique_ptr<const IDialect> dialect_;
+    std::unique_ptr<const IPlatformAdapter> adapter_;
     Reload reload_;
     OpenFolder openFolder_;
     boost::asio::io_context io_;
--- a/src/gateway/cp_gateway_settings.cpp
+++ b/src/gateway/cp_gateway_settings.cpp
@@ -66,8 +66,8 @@
     settings.failsClosed = reader.boolean("fail_closed", false);
     settings.limitPrecision.window = std::chrono::duration_cast<Milliseconds>(
         std::chrono::duration<double>(reader.number("limit_window_s", 0, 0, maxLimitWindowSeconds)));
-    settings.limitPrecision.overShare = reader.number("limit_over_share", 0, 0, 1);
-    settings.limitPrecision.overRequests = reader.number("limit_over_requests", 0, 0, maxLimitOverRequests);
+    settings.limitPrecision.excessShare = reader.number("limit_over_share", 0, 0, 1);
+    settings.limitPrecision.excessRequests = reader.number("limit_over_requests", 0, 0, maxLimitOverRequests);
     settings.logFile = reader.text("log_file", "-");
     settings.logLevel = reader.text("log_level", "info");
     // The other role's addresses may stand there, so that one template serves both.
--- a/src/gateway/cp_gateway_settings.hpp
+++ b/src/gateway/cp_gateway_settings.hpp
@@ -58,7 +58,7 @@
     Milliseconds revocationTime {0};
     bool failsClosed = false;
     //! How exactly accounts' limits are kept.
-    LimitPrecision limitPrecision;
+    LimitTolerance limitPrecision;
     //! "-" for standard output.
     std::string logFile = "-";
     std::string logLevel;
--- a/src/gateway/cp_group_contacts.cpp
+++ b/src/gateway/cp_group_discovery.cpp
@@ -1,4 +1,4 @@
-#include "cp_group_contacts.hpp"
+#include "cp_group_discovery.hpp"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -22,50 +22,50 @@
 
 } // namespace
 
-GroupContacts::GroupContacts(Parts parts)
+GroupDiscovery::GroupDiscovery(Parts parts)
     : parts_(parts)
     , storeTimer_(parts.io)
 {
 }
 
-void GroupContacts::open(LogStore &store)
+void GroupDiscovery::open(LogStore &store)
 {
-    const Result<RaftStoredState> stored = store.loadRaft(contactsGroup);
+    const Result<RaftStoredState> stored = store.loadRaft(membershipCacheGroup);
     if (!stored || stored.value().snapshot.index == 0) {
         return;
     }
     revision_ = stored.value().snapshot.index;
-    Result<PeerBook::Stored> book = PeerBook::decode(stored.value().snapshot.state);
-    if (!book) {
-        parts_.log.warn("ledger.book_unreadable", {{"error", book.error().message}});
+    Result<MembershipCache::Stored> cache = MembershipCache::decode(stored.value().snapshot.state);
+    if (!cache) {
+        parts_.log.warn("ledger.book_unreadable", {{"error", cache.error().message}});
         return;
     }
-    book_ = std::move(book.value().book);
-    const GroupSighting &last = book_.last();
+    cache_ = std::move(cache.value().cache);
+    const GroupView &last = cache_.last();
     parts_.log.info("ledger.remembered",
                     {{"leader", last.leader},
                      {"term", last.term},
                      {"document", last.documentVersion},
-                     {"peers", fmt::format("{}", fmt::join(book_.peers(), ","))},
-                     {"age_ms", wallNowMs() - book.value().wallMs}});
+                     {"peers", fmt::format("{}", fmt::join(cache_.peers(), ","))},
+                     {"age_ms", wallNowMs() - cache.value().wallMs}});
 }
 
-void GroupContacts::stop()
+void GroupDiscovery::stop()
 {
     storeTimer_.cancel();
 }
 
-void GroupContacts::noteConfirmed(const GroupSighting &group)
+void GroupDiscovery::noteConfirmed(const GroupView &group)
 {
     leader_ = group.leader;
     leaderTerm_ = group.term;
     hinted_.clear();
-    if (book_.note(group)) {
+    if (cache_.note(group)) {
         storeSoon();
     }
 }
 
-bool GroupContacts::noteNotice(const GroupSighting &group)
+bool GroupDiscovery::noteNotice(const GroupView &group)
 {
     // Guards against a deposed leader that still calls: the one that replaced it has a higher term.
     if (group.term < leaderTerm_) {
@@ -77,20 +77,20 @@
     return isOther;
 }
 
-void GroupContacts::noteHint(const GroupSighting &group)
+void GroupDiscovery::noteHint(const GroupView &group)
 {
     leader_ = group.leader;
     hinted_ = group.members;
 }
 
-std::vector<VmName> GroupContacts::peers() const
+std::vector<VmName> GroupDiscovery::peers() const
 {
-    std::vector<VmName> peers = book_.peers();
+    std::vector<VmName> peers = cache_.peers();
     peers.insert(peers.end(), hinted_.begin(), hinted_.end());
     return peers;
 }
 
-void GroupContacts::storeSoon()
+void GroupDiscovery::storeSoon()
 {
     if (isStoreArmed_) {
         return;
@@ -105,14 +105,14 @@
     });
 }
 
-void GroupContacts::store()
+void GroupDiscovery::store()
 {
     DiskThread::Job job;
-    job.group = contactsGroup;
-    job.prepare = [revision = ++revision_, bytes = book_.encode(wallNowMs())](LogStore & /*store*/, LogBatch &batch) {
-        batch.putSnapshot(contactsGroup, {revision, bookTerm, {}, bytes});
+    job.group = membershipCacheGroup;
+    job.prepare = [revision = ++revision_, bytes = cache_.encode(wallNowMs())](LogStore & /*store*/, LogBatch &batch) {
+        batch.putSnapshot(membershipCacheGroup, {revision, bookTerm, {}, bytes});
     };
-    job.finish = [&log = parts_.log, term = book_.last().term](const Result<void> &written) {
+    job.finish = [&log = parts_.log, term = cache_.last().term](const Result<void> &written) {
         log.info("ledger.way_stored", {{"term", term}, {"stored", written.has_value()}});
     };
     parts_.disk.post(std::move(job));
--- a/src/gateway/cp_group_contacts.hpp
+++ b/src/gateway/cp_group_discovery.hpp
@@ -1,9 +1,9 @@
-#ifndef CARDAMOMPOST_CP_GROUP_CONTACTS_HPP_INCLUDED
-#define CARDAMOMPOST_CP_GROUP_CONTACTS_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_GROUP_DISCOVERY_HPP_INCLUDED
+#define CARDAMOMPOST_CP_GROUP_DISCOVERY_HPP_INCLUDED
 
 #include "../daemon/cp_disk_thread.hpp"
 
-#include <cardamompost/ledger/cp_peer_book.hpp>
+#include <cardamompost/ledger/cp_membership_cache.hpp>
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -15,7 +15,7 @@
 //!
 //! Nothing of it is obeyed. What the book remembers is only asked, and a leader counts as known only once it, or
 //! somebody who runs, has named it since this process began. Thread-safety: none; the io_context's thread.
-class GroupContacts
+class GroupDiscovery
 {
 public:
     struct Parts {
@@ -24,18 +24,18 @@
         EventLog &log;
     };
 
-    explicit GroupContacts(Parts parts);
+    explicit GroupDiscovery(Parts parts);
 
     //! Reads the book. Only before the disk's thread runs. A book that can't be read is left aside: seeds are left.
     void open(LogStore &store);
     void stop();
 
     //! A leader that its quorum has just confirmed told of itself.
-    void noteConfirmed(const GroupSighting &group);
+    void noteConfirmed(const GroupView &group);
     //! A leader that nobody has confirmed told of itself. \returns true when it is another than the one known
-    bool noteNotice(const GroupSighting &group);
+    bool noteNotice(const GroupView &group);
     //! Somebody else, asked for the leader, answered this; it may know none.
-    void noteHint(const GroupSighting &group);
+    void noteHint(const GroupView &group);
     void forgetLeader()
     {
         leader_.clear();
@@ -54,7 +54,7 @@
     void store();
 
     Parts parts_;
-    PeerBook book_;
+    MembershipCache cache_;
     //! Of the book on the disk.
     LogIndex revision_ = 0;
     boost::asio::steady_timer storeTimer_;
@@ -67,4 +67,4 @@
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_GROUP_CONTACTS_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_GROUP_DISCOVERY_HPP_INCLUDED
--- a/src/gateway/cp_ledger_api.cpp
+++ b/src/gateway/cp_ledger_api.cpp
@@ -1,6 +1,6 @@
 #include "cp_ledger_api.hpp"
 
-#include "cp_own_responses.hpp"
+#include "cp_local_responses.hpp"
 
 #include <cardamompost/net/cp_await.hpp>
 
@@ -53,7 +53,7 @@
 
 asio::awaitable<void> LedgerApi::onControl(HttpRequest &request, IHttpResponder &responder)
 {
-    const PathNames &paths = parts_.dialect.paths();
+    const PathNames &paths = parts_.adapter.paths();
     HttpResponse response = failureResponse(statusNotFound, "no such path");
     if (request.path == paths.document && request.method == "PUT") {
         response = co_await putDocument(request);
@@ -70,7 +70,7 @@
 asio::awaitable<HttpResponse> LedgerApi::putDocument(HttpRequest &request)
 {
     // What is invalid is refused by every member, whatever its version, and before anybody is asked.
-    Result<RouteDocument> document = parts_.dialect.readDocument(request.body);
+    Result<RouteDocument> document = parts_.adapter.readDocument(request.body);
     const Result<void> checked = document ? checkRouteDocument(document.value()) : Result<void>(document.error());
     if (!checked) {
         parts_.log.info("document.refused", {{"error", checked.error().message}});
@@ -100,7 +100,7 @@
 
 asio::awaitable<HttpResponse> LedgerApi::retire(const HttpRequest &request)
 {
-    const VmName vm = request.path.substr(parts_.dialect.paths().retire.size());
+    const VmName vm = request.path.substr(parts_.adapter.paths().retire.size());
     const bool isOrder = request.method == "POST";
     if (!isOrder && request.method != "GET") {
         co_return failureResponse(statusWrongMethod, "POST and GET only");
@@ -114,7 +114,7 @@
     };
     const OrderResult result = co_await awaitCallback<OrderResult>(std::move(ask));
     const bool isCompleted = !isOrder && result == OrderResult::Done;
-    co_return answer(result, request, parts_.dialect.writeRetirement(isCompleted));
+    co_return answer(result, request, parts_.adapter.writeRetirement(isCompleted));
 }
 
 HttpResponse LedgerApi::answer(OrderResult result, const HttpRequest &request, std::string body) const
--- a/src/gateway/cp_ledger_api.hpp
+++ b/src/gateway/cp_ledger_api.hpp
@@ -3,7 +3,7 @@
 
 #include "cp_ledger_service.hpp"
 
-#include <cardamompost/edge/cp_idialect.hpp>
+#include <cardamompost/edge/cp_iplatform_adapter.hpp>
 #include <cardamompost/net/cp_http_server.hpp>
 
 namespace cardamompost
@@ -16,7 +16,7 @@
     struct Parts {
         boost::asio::io_context &io;
         const GatewaySettings &settings;
-        const IDialect &dialect;
+        const IPlatformAdapter &adapter;
         LedgerService &service;
         EventLog &log;
         MetricRegistry &metrics;
--- a/src/gateway/cp_ledger_begins.cpp
+++ b/src/gateway/cp_ledger_begins.cpp
@@ -15,7 +15,7 @@
 constexpr Milliseconds returnSpread {600};
 constexpr Milliseconds leasePoll {10};
 // Shorter than an entry waits for a reply.
-constexpr Milliseconds leasePatience {300};
+constexpr Milliseconds leaseTimeout {300};
 
 } // namespace
 
@@ -49,7 +49,7 @@
         confirmNoSuchTurn(begin, replier);
         return;
     }
-    if (status == TurnBeginStatus::Spent) {
+    if (status == TurnBeginStatus::BudgetExhausted) {
         refuse(begin, status, false, replier);
         return;
     }
@@ -96,7 +96,7 @@
 {
     // Guards the ledger against more turns than it can write: begun all the same, they would all be granted too late,
     // after they have run. Programs under way are taken for longer than new ones.
-    return commitDelay(now) >= (isUnderWay(begin) ? longestDelayUnderWay : longestDelayForNew);
+    return commitDelay(now) >= (isInProgress(begin) ? longestDelayUnderWay : longestDelayForNew);
 }
 
 void LedgerService::limitBegin(const std::shared_ptr<Begin> &begun)
@@ -106,21 +106,21 @@
         readHistory(begun);
         return;
     }
-    mayAdmit(begin.account, begun->since + leasePatience, [this, begun](bool hasLease) {
+    mayAdmit(begin.account, begun->since + leaseTimeout, [this, begun](bool hasLease) {
         if (!hasLease) {
             endBegin(*begun, TurnBeginReply {TurnBeginStatus::NotLeader, driver_.leader(), {}, {}});
             return;
         }
         const TurnBegin &turn = begun->begin;
-        const RequestLimiter::Verdict verdict
-            = limiter_.admit({turn.account, turn.turn, !isUnderWay(turn)}, std::chrono::steady_clock::now());
-        if (verdict.isAdmitted) {
+        const RequestLimiter::Decision decision
+            = limiter_.admit({turn.account, turn.turn, !isInProgress(turn)}, std::chrono::steady_clock::now());
+        if (decision.isAdmitted) {
             reportUsage();
-            after(verdict.delay, [this, begun] { readHistory(begun); });
+            after(decision.delay, [this, begun] { readHistory(begun); });
             return;
         }
-        noteLimited(turn.account, turn.turn, verdict);
-        const auto retryAfter = static_cast<std::uint32_t>(verdict.retryAfter.count());
+        noteLimited(turn.account, turn.turn, decision);
+        const auto retryAfter = static_cast<std::uint32_t>(decision.retryAfter.count());
         endBegin(*begun, TurnBeginReply {TurnBeginStatus::Limited, self_, {}, {}, retryAfter});
     });
 }
@@ -128,33 +128,32 @@
 void LedgerService::onAdmit(const AdmitRequest &request, const Replier &replier)
 {
     offerDocument();
-    mayAdmit(
-        request.account, std::chrono::steady_clock::now() + leasePatience, [this, request, replier](bool hasLease) {
-            if (!hasLease) {
-                replier->reply(AdmitReply {AdmitStatus::NotLeader, 0});
-                return;
-            }
-            const RequestLimiter::Verdict verdict
-                = limiter_.admit({request.account, request.request, false}, std::chrono::steady_clock::now());
-            if (verdict.isAdmitted) {
-                reportUsage();
-                after(verdict.delay, [replier] { replier->reply(AdmitReply {AdmitStatus::Admitted, 0}); });
-                return;
-            }
-            noteLimited(request.account, request.request, verdict);
-            replier->reply(AdmitReply {AdmitStatus::Limited, static_cast<std::uint32_t>(verdict.retryAfter.count())});
-        });
+    mayAdmit(request.account, std::chrono::steady_clock::now() + leaseTimeout, [this, request, replier](bool hasLease) {
+        if (!hasLease) {
+            replier->reply(AdmitReply {AdmitStatus::NotLeader, 0});
+            return;
+        }
+        const RequestLimiter::Decision decision
+            = limiter_.admit({request.account, request.request, false}, std::chrono::steady_clock::now());
+        if (decision.isAdmitted) {
+            reportUsage();
+            after(decision.delay, [replier] { replier->reply(AdmitReply {AdmitStatus::Admitted, 0}); });
+            return;
+        }
+        noteLimited(request.account, request.request, decision);
+        replier->reply(AdmitReply {AdmitStatus::Limited, static_cast<std::uint32_t>(decision.retryAfter.count())});
+    });
 }
 
 void LedgerService::noteLimited(const std::string &account, const std::string &id,
-                                const RequestLimiter::Verdict &verdict)
+                                const RequestLimiter::Decision &decision)
 {
     limited_.add();
     parts_.log.info("request.limited",
-                    {{"id", bareId(id)},
+                    {{"id", unscopedId(id)},
                      {"account", account},
-                     {"reached", nameOf(limitReachedNames, verdict.reached)},
-                     {"retry_after_ms", verdict.retryAfter.count()},
+                     {"reached", nameOf(limitReachedNames, decision.reached)},
+                     {"retry_after_ms", decision.retryAfter.count()},
                      {"per_second", limiter_.limitOf(account).perSecond},
                      {"burst", limiter_.limitOf(account).burst},
                      {"document", triedVersion_}});
@@ -201,7 +200,7 @@
     });
 }
 
-bool LedgerService::isUnderWay(const TurnBegin &begin) const
+bool LedgerService::isInProgress(const TurnBegin &begin) const
 {
     return !begin.previous.empty() || state_.spent(begin.program) != 0 || state_.reserved(begin.program) != 0;
 }
@@ -218,15 +217,21 @@
 void LedgerService::placeBegin(const std::shared_ptr<Begin> &begun)
 {
     const TurnBegin &begin = begun->begin;
-    const PlacementWish &wish = begin.wish;
+    const PlacementRequest &placement = begin.placement;
     const TimePoint now = std::chrono::steady_clock::now();
-    for (const std::string &server : wish.unreachable) {
+    for (const std::string &server : placement.unreachable) {
         placement_.avoid(server, now + avoidFor);
     }
-    TurnToPlace turn {begin.turn, begin.program, wish.service, wish.failureDomain,
-                      wish.rank,  false,         false,        Milliseconds(wish.patienceMs)};
-    turn.isUnderWay = isUnderWay(begin);
-    turn.isLate = wish.programTimeLeftMs < 0;
+    TurnToPlace turn {begin.turn,
+                      begin.program,
+                      placement.service,
+                      placement.failureDomain,
+                      placement.rank,
+                      false,
+                      false,
+                      Milliseconds(placement.timeLeftMs)};
+    turn.isInProgress = isInProgress(begin);
+    turn.isLate = placement.programTimeLeftMs < 0;
     placement_.request(std::move(turn), now, [this, begun](const std::string &backend) { onPlaced(*begun, backend); });
 }
 
@@ -256,9 +261,9 @@
 void LedgerService::refuse(const TurnBegin &begin, TurnBeginStatus status, bool isConfirmed, const Replier &replier)
 {
     parts_.log.info("turn.refused",
-                    {{"turn", bareId(begin.turn)},
-                     {"program", bareId(begin.program)},
-                     {"previous", bareId(begin.previous)},
+                    {{"turn", unscopedId(begin.turn)},
+                     {"program", unscopedId(begin.program)},
+                     {"previous", unscopedId(begin.previous)},
                      {"account", accountOf(begin.turn)},
                      {"status", static_cast<int>(status)},
                      {"confirmed", isConfirmed},
@@ -268,7 +273,7 @@
                      {"asked", begin.tokensAtMost},
                      {"term", driver_.node().term()}});
     if (status != TurnBeginStatus::NotLeader) {
-        (status == TurnBeginStatus::Spent ? spentTurns_ : unknownTurns_).add();
+        (status == TurnBeginStatus::BudgetExhausted ? exhaustedTurns_ : unknownTurns_).add();
     }
     replier->reply(TurnBeginReply {status, driver_.leader(), {}, {}});
 }
@@ -293,7 +298,7 @@
     }
     pendingTokens_[begun->begin.program] += begun->begin.tokensAtMost;
     TurnBegin kept = begun->begin;
-    kept.wish = {};
+    kept.placement = {};
     kept.account.clear();
     proposed_.emplace_back(std::chrono::steady_clock::now(), begun);
     propose(std::move(kept), [this, begun](bool isCommitted) {
--- a/src/gateway/cp_ledger_client.cpp
+++ b/src/gateway/cp_ledger_client.cpp
@@ -17,8 +17,8 @@
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 constexpr Milliseconds tryTimeout {400};
 constexpr Milliseconds retryPause {10};
-constexpr Milliseconds newsWait {500};
-constexpr Milliseconds newsTimeout {900};
+constexpr Milliseconds updateWait {500};
+constexpr Milliseconds updateTimeout {900};
 
 TimePoint timeNow()
 {
@@ -57,13 +57,13 @@
     , finishRetries_(parts.metrics.counter("cardamompost_ledger_finish_retries_total"))
 {
     parts.metrics.gauge("cardamompost_document_behind_seconds", {},
-                        [this] { return std::chrono::duration<double>(lag_.behindFor(timeNow())).count(); });
+                        [this] { return std::chrono::duration<double>(staleness_.staleFor(timeNow())).count(); });
 }
 
-void LedgerClient::start(NewsHandler onNews)
+void LedgerClient::start(UpdateHandler onUpdateRequest)
 {
-    onNews_ = std::move(onNews);
-    asio::co_spawn(parts_.io, readNews(), asio::detached);
+    onUpdate_ = std::move(onUpdateRequest);
+    asio::co_spawn(parts_.io, readUpdates(), asio::detached);
 }
 
 void LedgerClient::stop()
@@ -106,7 +106,7 @@
         return;
     }
     if (answer == nullptr) {
-        doubtLeader(peer, reply, "an unexpected reply");
+        suspectLeader(peer, reply, "an unexpected reply");
         resendLater(attempt);
         return;
     }
@@ -167,7 +167,7 @@
         if (asking.retries != nullptr) {
             asking.retries->add();
         }
-        doubtLeader(peer, reply, asking.otherwise);
+        suspectLeader(peer, reply, asking.otherwise);
         co_await sleepFor(retryPause);
     }
     co_return std::nullopt;
@@ -190,7 +190,7 @@
     co_return co_await askLeader(std::move(body), until, asking);
 }
 
-asio::awaitable<void> LedgerClient::readNews()
+asio::awaitable<void> LedgerClient::readUpdates()
 {
     loseLeader({}, "the start");
     while (!isStopped_) {
@@ -200,37 +200,37 @@
             co_await sleepFor(retryPause);
             continue;
         }
-        known_.waitMs = static_cast<std::uint32_t>(newsWait.count());
-        known_.behindMs = lacksSince_ ? static_cast<std::uint32_t>(toMs(timeNow() - *lacksSince_)) : 0;
+        known_.waitMs = static_cast<std::uint32_t>(updateWait.count());
+        known_.staleMs = lacksSince_ ? static_cast<std::uint32_t>(toMs(timeNow() - *lacksSince_)) : 0;
         FrameBody body = known_;
-        const Result<FrameBody> reply = co_await client->call(std::move(body), newsTimeout);
-        const NewsReply *news = reply ? std::get_if<NewsReply>(&reply.value()) : nullptr;
-        if (news != nullptr && news->isLeader && news->term >= leaderTerm_) {
-            takeNews(*news);
+        const Result<FrameBody> reply = co_await client->call(std::move(body), updateTimeout);
+        const UpdateReply *update = reply ? std::get_if<UpdateReply>(&reply.value()) : nullptr;
+        if (update != nullptr && update->isLeader && update->term >= leaderTerm_) {
+            applyUpdate(*update);
         } else if (leader_ == peer) {
             loseLeader(peer, reply ? "it does not lead" : reply.error().message);
         }
     }
 }
 
-void LedgerClient::takeNews(const NewsReply &news)
+void LedgerClient::applyUpdate(const UpdateReply &update)
 {
-    members_ = news.members;
-    voters_ = news.voters;
-    leaderTerm_ = news.term;
-    const Milliseconds age = newsAge();
-    lastNews_ = timeNow();
+    members_ = update.members;
+    voters_ = update.voters;
+    leaderTerm_ = update.term;
+    const Milliseconds age = updateAge();
+    lastUpdate_ = timeNow();
     if (!hasLeader_) {
         hasLeader_ = true;
         parts_.log.info("ledger.found", {{"leader", leader_}, {"news_age_ms", age.count()}});
     }
-    lag_.noteNewest(news.documentVersion, lastNews_);
-    onNews_(news);
-    const bool lacksList = known_.list < news.list;
-    if (!lag_.isBehind() && !lacksList) {
+    staleness_.noteNewest(update.documentVersion, lastUpdate_);
+    onUpdate_(update);
+    const bool lacksList = known_.list < update.list;
+    if (!staleness_.isStale() && !lacksList) {
         lacksSince_.reset();
     } else if (!lacksSince_) {
-        lacksSince_ = lastNews_;
+        lacksSince_ = lastUpdate_;
     }
 }
 
@@ -240,7 +240,7 @@
     known_.list = known.list;
     known_.documentDigests = std::move(known.documentDigests);
     known_.listDigests = std::move(known.listDigests);
-    lag_.noteInForce(known.documentVersion);
+    staleness_.noteInForce(known.documentVersion);
 }
 
 void LedgerClient::tellPresence(bool isReady)
@@ -255,9 +255,9 @@
     }
 }
 
-Milliseconds LedgerClient::newsAge() const
+Milliseconds LedgerClient::updateAge() const
 {
-    return std::chrono::duration_cast<Milliseconds>(timeNow() - lastNews_);
+    return std::chrono::duration_cast<Milliseconds>(timeNow() - lastUpdate_);
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_ledger_client.hpp
+++ b/src/gateway/cp_ledger_client.hpp
@@ -1,7 +1,7 @@
 #ifndef CARDAMOMPOST_CP_LEDGER_CLIENT_HPP_INCLUDED
 #define CARDAMOMPOST_CP_LEDGER_CLIENT_HPP_INCLUDED
 
-#include "cp_document_lag.hpp"
+#include "cp_document_staleness.hpp"
 #include "cp_gateway_settings.hpp"
 #include "cp_peer_clients.hpp"
 
@@ -85,12 +85,12 @@
         EventLog &log;
         MetricRegistry &metrics;
     };
-    using NewsHandler = std::function<void(const NewsReply &news)>;
+    using UpdateHandler = std::function<void(const UpdateReply &update)>;
 
     explicit LedgerClient(Parts parts);
 
     //! Begins to take news; the handler gets every reply of a leader.
-    void start(NewsHandler onNews);
+    void start(UpdateHandler onUpdateRequest);
     void stop();
 
     //! \param until  when the caller has no use for a grant any more
@@ -116,17 +116,17 @@
         return everyone().size();
     }
     //! Time since a leader last answered.
-    [[nodiscard]] Milliseconds newsAge() const;
-    [[nodiscard]] const DocumentLag &lag() const
+    [[nodiscard]] Milliseconds updateAge() const;
+    [[nodiscard]] const DocumentStaleness &lag() const
     {
-        return lag_;
+        return staleness_;
     }
     //! News come at least twice a second; what is decided by older ones may be wrong by now.
-    static constexpr Milliseconds oldNews {1000};
+    static constexpr Milliseconds maxUpdateAge {1000};
     //! A leader has just said so: the document that this entry goes by is the newest one.
     [[nodiscard]] bool hasNewestDocument() const
     {
-        return newsAge() <= oldNews && !lag_.isBehind();
+        return updateAge() <= maxUpdateAge && !staleness_.isStale();
     }
     [[nodiscard]] bool hasLeader() const
     {
@@ -163,8 +163,8 @@
     void onBeginReply(const std::shared_ptr<BeginTry> &attempt, const VmName &target, Result<FrameBody> reply,
                       bool isLast);
     void resendLater(const std::shared_ptr<BeginTry> &attempt);
-    boost::asio::awaitable<void> readNews();
-    void takeNews(const NewsReply &news);
+    boost::asio::awaitable<void> readUpdates();
+    void applyUpdate(const UpdateReply &update);
     //! Asks all members at once, again and again, until one says that it leads.
     boost::asio::awaitable<void> search();
     void askWhoLeads(const VmName &peer);
@@ -173,10 +173,10 @@
     //! Keeps a question at each voter but the leader that is answered at once when that voter becomes the leader.
     void watchVoters();
     void watch(const VmName &peer);
-    void follow(const VmName &peer, const NewsReply &news);
+    void follow(const VmName &peer, const UpdateReply &update);
     void loseLeader(const VmName &asked, const std::string &reason);
     //! A request to the leader has no reply in time: it is lost unless it still says that it leads.
-    void doubtLeader(const VmName &asked, const Result<FrameBody> &reply, const std::string &reason);
+    void suspectLeader(const VmName &asked, const Result<FrameBody> &reply, const std::string &reason);
     //! Whom to ask next for the leader.
     [[nodiscard]] std::vector<VmName> nextToAsk();
     [[nodiscard]] std::set<VmName> everyone() const;
@@ -191,7 +191,7 @@
     Term leaderTerm_ = 0;
     bool isSearching_ = false;
     //! The leader is being asked whether it still leads.
-    bool isInDoubt_ = false;
+    bool isSuspected_ = false;
     //! Searches so far; each asks others of those that are many.
     std::size_t searches_ = 0;
     TimePoint searchingSince_ {};
@@ -199,12 +199,12 @@
     boost::asio::steady_timer found_;
     //! Voters with a watch() under way.
     std::set<VmName> watched_;
-    NewsRequest known_;
-    DocumentLag lag_;
+    UpdateRequest known_;
+    DocumentStaleness staleness_;
     //! Since when the leader has a newer document or list; nothing when this entry holds the newest.
     std::optional<TimePoint> lacksSince_;
-    NewsHandler onNews_;
-    TimePoint lastNews_ {};
+    UpdateHandler onUpdate_;
+    TimePoint lastUpdate_ {};
     bool isStopped_ = false;
     bool hasLeader_ = false;
     Counter &beginRetries_;
--- a/src/gateway/cp_ledger_members.cpp
+++ b/src/gateway/cp_ledger_members.cpp
@@ -13,7 +13,7 @@
 constexpr Milliseconds blankJoinInterval {120};
 constexpr Milliseconds joinTimeout {400};
 constexpr Milliseconds planInterval {200};
-// Often enough that a lost message makes nobody dark (PresenceTable::darkAfter).
+// Often enough that a lost message makes nobody dark (PresenceTable::unreachableAfter).
 constexpr Milliseconds tellInterval {250};
 // A member that was silent for so long may be replaced, if there is another VM to take its place.
 constexpr Milliseconds lostAfter {1500};
@@ -34,7 +34,7 @@
     std::set<VmName> known;
     const auto add = [&known](const auto &names) { known.insert(names.begin(), names.end()); };
     add(parts_.settings.seedPeers());
-    add(contacts_.peers());
+    add(discovery_.peers());
     if (driver_.isStarted()) {
         add(driver_.node().membership().voters);
     }
@@ -87,7 +87,7 @@
             client->notify(presence);
         }
     }
-    callTheSilent();
+    notifySilentPeers();
     tellTimer_.expires_after(tellInterval);
     tellTimer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
@@ -96,7 +96,7 @@
     });
 }
 
-void LedgerService::callTheSilent()
+void LedgerService::notifySilentPeers()
 {
     if (!leads()) {
         return;
@@ -106,7 +106,7 @@
     // member. The leader's table has the address of whoever once asked it, and its own settings name the seeds that
     // strangers ask first; so it tells those of them that do not ask it.
     const TimePoint now = std::chrono::steady_clock::now();
-    const LeaderNotice notice {sighting()};
+    const LeaderNotice notice {groupView()};
     const std::vector<VmName> peers = knownPeers();
     std::set<VmName> known(peers.begin(), peers.end());
     for (const auto &[vm, record] : state_.vms()) {
@@ -114,8 +114,8 @@
     }
     known.erase(self_);
     for (const VmName &peer : known) {
-        const auto asker = askers_.find(peer);
-        const bool isSilent = asker == askers_.end() || now - asker->second.at > callAfter;
+        const auto requester = joinRequesters_.find(peer);
+        const bool isSilent = requester == joinRequesters_.end() || now - requester->second.at > callAfter;
         const auto client = isSilent ? parts_.peers.client(peer) : nullptr;
         if (client) {
             client->notify(notice);
@@ -125,16 +125,16 @@
 
 void LedgerService::onLeaderNotice(const LeaderNotice &notice)
 {
-    const bool isNews = contacts_.noteNotice(notice.group);
+    const bool isNews = discovery_.noteNotice(notice.group);
     if (isNews && driver_.leader().empty()) {
         parts_.log.info("ledger.called", {{"leader", notice.group.leader}, {"term", notice.group.term}});
         askToJoin();
     }
 }
 
-GroupSighting LedgerService::sighting() const
+GroupView LedgerService::groupView() const
 {
-    GroupSighting group;
+    GroupView group;
     group.leader = leader();
     group.documentVersion = state_.documentVersion();
     // Seeds and those remembered: who asks this VM may ask them in turn.
@@ -168,8 +168,8 @@
 void LedgerService::askToJoin()
 {
     // The leader learns each VM's name and address from this, members' too, and that those outside are live.
-    const LogIndex holdsUpTo = driver_.isStarted() && state_.texts().missing().empty() ? driver_.applied() : 0;
-    const JoinRequest request {parts_.settings.vm, self_, holdsUpTo, parts_.settings.failureDomain};
+    const LogIndex completeUpTo = driver_.isStarted() && state_.texts().missing().empty() ? driver_.applied() : 0;
+    const JoinRequest request {parts_.settings.vm, self_, completeUpTo, parts_.settings.failureDomain};
     if (leads()) {
         onJoin(request, nullptr);
         return;
@@ -182,7 +182,7 @@
     logSearch(target, peers);
     const auto client = target.empty() || target == self_ ? nullptr : parts_.peers.client(target);
     if (!client) {
-        contacts_.forgetLeader();
+        discovery_.forgetLeader();
         return;
     }
     client->request(request, joinTimeout, [this, target](Result<FrameBody> reply, bool) {
@@ -196,13 +196,13 @@
 {
     if (!reply.isConfirmed) {
         // A notice that came meanwhile says more than the silence, or the ignorance, of the one that was asked before.
-        const bool isOld = contacts_.leader() != asked && !contacts_.leader().empty();
+        const bool isOld = discovery_.leader() != asked && !discovery_.leader().empty();
         if (!isOld) {
-            contacts_.noteHint(reply.group.leader == asked ? GroupSighting {} : reply.group);
+            discovery_.noteHint(reply.group.leader == asked ? GroupView {} : reply.group);
         }
         return;
     }
-    contacts_.noteConfirmed(reply.group);
+    discovery_.noteConfirmed(reply.group);
     if (driver_.isStarted()) {
         return;
     }
@@ -219,11 +219,11 @@
 {
     if (!leads()) {
         if (replier) {
-            replier->reply(JoinReply {false, sighting()});
+            replier->reply(JoinReply {false, groupView()});
         }
         return;
     }
-    askers_[request.peer] = {std::chrono::steady_clock::now(), request.holdsUpTo, request.failureDomain};
+    joinRequesters_[request.peer] = {std::chrono::steady_clock::now(), request.completeUpTo, request.failureDomain};
     const auto known = state_.vms().find(request.vm);
     const bool isKnown = known != state_.vms().end() && known->second.peer == request.peer;
     // Asked again while it is proposed, as while the ledger is slow, it is not proposed once more.
@@ -233,7 +233,7 @@
     if (!replier) {
         return;
     }
-    driver_.confirmRead([this, replier](bool isConfirmed) { replier->reply(JoinReply {isConfirmed, sighting()}); });
+    driver_.confirmRead([this, replier](bool isConfirmed) { replier->reply(JoinReply {isConfirmed, groupView()}); });
 }
 
 void LedgerService::retire(const VmName &vm, OrderDone done)
@@ -287,9 +287,9 @@
     for (const auto &[vm, record] : state_.vms()) {
         MemberCandidate &candidate = result[record.peer];
         candidate.isRetiring = record.isRetiring;
-        if (const auto asker = askers_.find(record.peer); asker != askers_.end()) {
-            candidate.isLive = std::chrono::steady_clock::now() - asker->second.at < joinFreshFor;
-            candidate.failureDomain = asker->second.failureDomain;
+        if (const auto requester = joinRequesters_.find(record.peer); requester != joinRequesters_.end()) {
+            candidate.isLive = std::chrono::steady_clock::now() - requester->second.at < joinFreshFor;
+            candidate.failureDomain = requester->second.failureDomain;
         }
     }
     const Membership &members = node.membership();
@@ -300,8 +300,9 @@
             candidate.isLive = candidate.isLeader || driver_.silenceOf(peer) < lostAfter;
             // Guards against a newcomer that has the log and not what turns said, which no snapshot holds: were it to
             // take a lost member's place, the next loss could be one too many.
-            const auto asker = askers_.find(peer);
-            const bool hasTexts = asker != askers_.end() && asker->second.holdsUpTo >= node.log().snapshot().index;
+            const auto requester = joinRequesters_.find(peer);
+            const bool hasTexts
+                = requester != joinRequesters_.end() && requester->second.completeUpTo >= node.log().snapshot().index;
             candidate.isCaughtUp = hasTexts && node.matchOf(peer) >= node.commitIndex();
         }
     }
--- a/src/gateway/cp_ledger_search.cpp
+++ b/src/gateway/cp_ledger_search.cpp
@@ -52,7 +52,7 @@
     if (hasLeader_) {
         hasLeader_ = false;
         lost_.add();
-        parts_.log.warn("ledger.lost", {{"peer", asked}, {"reason", reason}, {"news_age_ms", newsAge().count()}});
+        parts_.log.warn("ledger.lost", {{"peer", asked}, {"reason", reason}, {"news_age_ms", updateAge().count()}});
     }
     if (!isSearching_ && !isStopped_) {
         isSearching_ = true;
@@ -94,7 +94,7 @@
     return asked;
 }
 
-void LedgerClient::doubtLeader(const VmName &asked, const Result<FrameBody> &reply, const std::string &reason)
+void LedgerClient::suspectLeader(const VmName &asked, const Result<FrameBody> &reply, const std::string &reason)
 {
     const bool isOverdue = !reply && reply.error().kind == ErrorKind::DeadlineExceeded;
     const auto client = parts_.peers.client(asked);
@@ -102,17 +102,17 @@
         loseLeader(asked, reply ? reason : reply.error().message);
         return;
     }
-    if (isInDoubt_) {
+    if (isSuspected_) {
         return;
     }
     // Guards a leader that has more to do than it can against entries that all search for it, and make it slower.
-    isInDoubt_ = true;
-    NewsRequest request;
+    isSuspected_ = true;
+    UpdateRequest request;
     request.wantsContent = false;
     client->request(request, doubtTimeout, [this, asked](Result<FrameBody> answer, bool) {
-        isInDoubt_ = false;
-        const NewsReply *news = answer ? std::get_if<NewsReply>(&answer.value()) : nullptr;
-        if (news != nullptr && news->isLeader && news->term >= leaderTerm_) {
+        isSuspected_ = false;
+        const UpdateReply *update = answer ? std::get_if<UpdateReply>(&answer.value()) : nullptr;
+        if (update != nullptr && update->isLeader && update->term >= leaderTerm_) {
             slow_.add();
             return;
         }
@@ -140,35 +140,35 @@
     }
     // Guards the leader's memory: this is asked ten times a second of all, and a list of thousands of servers in each
     // answer, to hundreds of entries, ended one leader after the other. The next question gets the news themselves.
-    NewsRequest request;
+    UpdateRequest request;
     request.wantsContent = false;
     client->request(request, searchTimeout, [this, peer](Result<FrameBody> reply, bool) {
-        const NewsReply *news = reply ? std::get_if<NewsReply>(&reply.value()) : nullptr;
-        if (news == nullptr) {
+        const UpdateReply *update = reply ? std::get_if<UpdateReply>(&reply.value()) : nullptr;
+        if (update == nullptr) {
             return;
         }
         // Guards against a deposed leader that answers first, as one does that is cut off from the other members only:
         // the leader that replaced it has a higher term, and whichever of the two answers later, that one is kept.
-        const bool isNewer = leader_.empty() ? news->term >= leaderTerm_ : news->term > leaderTerm_;
-        if (news->isLeader && isNewer) {
-            follow(peer, *news);
+        const bool isNewer = leader_.empty() ? update->term >= leaderTerm_ : update->term > leaderTerm_;
+        if (update->isLeader && isNewer) {
+            follow(peer, *update);
         }
-        if (news->isLeader || !leader_.empty()) {
+        if (update->isLeader || !leader_.empty()) {
             return;
         }
         // Guards an entry that starts while none of its seeds leads: they may have been exchanged, and the leader may
         // be a VM that it has never heard of. Whoever answers names the members that it knows.
-        members_.insert(members_.end(), news->members.begin(), news->members.end());
-        if (!news->leader.empty()) {
-            members_.push_back(news->leader);
+        members_.insert(members_.end(), update->members.begin(), update->members.end());
+        if (!update->leader.empty()) {
+            members_.push_back(update->leader);
         }
     });
 }
 
-void LedgerClient::follow(const VmName &peer, const NewsReply &news)
+void LedgerClient::follow(const VmName &peer, const UpdateReply &update)
 {
     const VmName before = std::exchange(leader_, peer);
-    takeNews(news);
+    applyUpdate(update);
     found_.cancel();
     if (!before.empty() && before != peer) {
         toldBySuccessor_.add();
@@ -196,15 +196,15 @@
         watched_.erase(peer);
         return;
     }
-    NewsRequest request;
+    UpdateRequest request;
     request.wantsContent = false;
     request.waitMs = static_cast<std::uint32_t>(watchWait.count());
     client->request(request, watchWait + watchMargin, [this, peer](Result<FrameBody> reply, bool) {
         // The next one is sent by watchVoters(), so that a VM that answers at once is not asked in a loop.
         watched_.erase(peer);
-        const NewsReply *news = reply ? std::get_if<NewsReply>(&reply.value()) : nullptr;
-        if (news != nullptr && news->isLeader && news->term > leaderTerm_) {
-            follow(peer, *news);
+        const UpdateReply *update = reply ? std::get_if<UpdateReply>(&reply.value()) : nullptr;
+        if (update != nullptr && update->isLeader && update->term > leaderTerm_) {
+            follow(peer, *update);
         }
     });
 }
--- a/src/gateway/cp_ledger_service.cpp
+++ b/src/gateway/cp_ledger_service.cpp
@@ -18,8 +18,8 @@
 constexpr std::size_t maxAppendsInFlight = 16;
 // Lists and documents that entries are sent, all of them together: a third of a ledger VM's link, and what its memory
 // holds of answers that are on their way.
-constexpr double newsBytesPerSecond = 24.0 * (1U << 20U);
-constexpr double newsBurstBytes = 4.0 * (1U << 20U);
+constexpr double updateBytesPerSecond = 24.0 * (1U << 20U);
+constexpr double updateBurstBytes = 4.0 * (1U << 20U);
 constexpr LogIndex foundingIndex = 1;
 constexpr Term foundingTerm = 1;
 
@@ -33,14 +33,14 @@
     , driver_({parts.io, parts.disk, parts.peers, parts.log, parts.metrics}, *this)
     , joinTimer_(parts.io)
     , tellTimer_(parts.io)
-    , contacts_({parts.io, parts.disk, parts.log})
+    , discovery_({parts.io, parts.disk, parts.log})
     , placement_(randomIdentity())
     , limiter_(parts.settings.limitPrecision)
-    , news_({newsBytesPerSecond, newsBurstBytes})
-    , newsPutOff_(parts.metrics.counter("cardamompost_news_put_off_total"))
+    , pendingUpdates_({updateBytesPerSecond, updateBurstBytes})
+    , deferredUpdates_(parts.metrics.counter("cardamompost_news_put_off_total"))
     , placeSeconds_(parts.metrics.histogram("cardamompost_turn_place_seconds"))
     , takeovers_(parts.metrics.counter("cardamompost_ledger_takeovers_total"))
-    , spentTurns_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "spent"}}))
+    , exhaustedTurns_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "spent"}}))
     , unknownTurns_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "no-such-turn"}}))
     , limited_(parts.metrics.counter("cardamompost_requests_limited_total"))
     , overloaded_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "overloaded"}}))
@@ -66,14 +66,14 @@
     BOOST_OUTCOME_TRY(RaftStoredState stored, store.loadRaft(controlGroup));
     state_.texts().setCacheBytes(parts_.settings.textCacheBytes());
     texts_.open(store);
-    contacts_.open(store);
+    discovery_.open(store);
     parts_.disk.start();
     // The log's term is the epoch that seals it against every earlier leader.
     parts_.metrics.gauge("cardamompost_ledger_term", {},
                          [this] { return driver_.isStarted() ? static_cast<double>(driver_.node().term()) : 0.0; });
     // Until it is whole again, a VM that lost its disk counts as one of the losses that can be borne.
     parts_.metrics.gauge("cardamompost_ledger_whole", {}, [this] {
-        return driver_.isStarted() && !driver_.node().isBlank() && state_.texts().missing().empty() ? 1.0 : 0.0;
+        return driver_.isStarted() && !driver_.node().isUninitialized() && state_.texts().missing().empty() ? 1.0 : 0.0;
     });
     parts_.metrics.gauge("cardamompost_list_age_seconds", {}, [this] {
         return leads() ? std::chrono::duration<double>(std::chrono::steady_clock::now() - listReadAt_).count() : 0.0;
@@ -110,9 +110,9 @@
     joinTimer_.cancel();
     tellTimer_.cancel();
     texts_.stop();
-    contacts_.stop();
-    for (const NewsQuestions::Question &question : news_.takeAll()) {
-        replyNews(question.request, question.replier, false);
+    discovery_.stop();
+    for (const PendingUpdates::Question &question : pendingUpdates_.takeAll()) {
+        replyUpdate(question.request, question.replier, false);
     }
     answerWatchers(true);
     driver_.stop();
@@ -151,7 +151,7 @@
         parts_.log.info(
             "document.in_force",
             {{"version", state_.documentVersion()}, {"before", before}, {"bytes", state_.document().size()}});
-        serveNews();
+        serveUpdates();
     }
 }
 
@@ -198,7 +198,7 @@
         leadingSince_ = std::chrono::steady_clock::now();
         backends_ = {};
         takeovers_.add();
-        callTheSilent();
+        notifySilentPeers();
     }
     if (isLeader != wasLeader_) {
         if (isLeader) {
@@ -216,7 +216,7 @@
         wasLeader_ = isLeader;
         logRole();
     }
-    serveNews();
+    serveUpdates();
     if (!watchers_.empty()) {
         answerWatchers(false);
     }
--- a/src/gateway/cp_ledger_service.hpp
+++ b/src/gateway/cp_ledger_service.hpp
@@ -3,16 +3,16 @@
 
 #include "cp_consensus_driver.hpp"
 #include "cp_gateway_settings.hpp"
-#include "cp_group_contacts.hpp"
+#include "cp_group_discovery.hpp"
 #include "cp_presence_table.hpp"
 #include "cp_turn_text_store.hpp"
 
 #include <cardamompost/accounts/cp_scoped_id.hpp>
-#include <cardamompost/edge/cp_idialect.hpp>
+#include <cardamompost/edge/cp_iplatform_adapter.hpp>
 #include <cardamompost/ledger/cp_ledger_clock.hpp>
 #include <cardamompost/ledger/cp_ledger_state.hpp>
 #include <cardamompost/ledger/cp_member_planner.hpp>
-#include <cardamompost/ledger/cp_news_queue.hpp>
+#include <cardamompost/ledger/cp_update_queue.hpp>
 #include <cardamompost/limits/cp_request_limiter.hpp>
 #include <cardamompost/net/cp_peer_server.hpp>
 #include <cardamompost/policy/cp_turn_placement.hpp>
@@ -30,7 +30,7 @@
     struct Parts {
         boost::asio::io_context &io;
         const GatewaySettings &settings;
-        const IDialect &dialect;
+        const IPlatformAdapter &adapter;
         DiskThread &disk;
         PeerClients &peers;
         EventLog &log;
@@ -63,7 +63,7 @@
     void onBegin(TurnBegin begin, const Replier &replier);
     void onAdmit(const AdmitRequest &request, const Replier &replier);
     void onFinish(TurnFinish finish, const Replier &replier);
-    void onNews(const NewsRequest &request, const Replier &replier);
+    void onUpdateRequest(const UpdateRequest &request, const Replier &replier);
     void onPresence(const Presence &presence);
     void onTurnTexts(const TurnTextsRequest &request, const Replier &replier)
     {
@@ -90,12 +90,12 @@
     }
     [[nodiscard]] bool leads() const
     {
-        return driver_.isSettledLeader();
+        return driver_.isEstablishedLeader();
     }
     //! Empty while none is known. A VM outside of the group knows the one that was last named to it.
     [[nodiscard]] VmName leader() const
     {
-        return driver_.leader().empty() && contacts_.leader() != self_ ? contacts_.leader() : driver_.leader();
+        return driver_.leader().empty() && discovery_.leader() != self_ ? discovery_.leader() : driver_.leader();
     }
     void handOver()
     {
@@ -132,9 +132,9 @@
         //! What the quorum decided; nothing yet.
         std::optional<TurnBeginStatus> decided;
     };
-    using NewsQuestions = NewsQueue<Replier>;
+    using PendingUpdates = UpdateQueue<Replier>;
     struct Watcher {
-        NewsRequest request;
+        UpdateRequest request;
         Replier replier;
         TimePoint deadline;
     };
@@ -144,9 +144,9 @@
     void askToJoin();
     void onJoined(const VmName &asked, const JoinReply &reply);
     //! What a VM that asks for the group hears.
-    [[nodiscard]] GroupSighting sighting() const;
+    [[nodiscard]] GroupView groupView() const;
     //! Tells VMs that should ask this leader and don't that it is here.
-    void callTheSilent();
+    void notifySilentPeers();
     //! Says in the logs whom this VM asks while it finds no leader.
     void logSearch(const VmName &asked, const std::vector<VmName> &peers);
     //! Proposes a change, with the ledger's time.
@@ -155,7 +155,7 @@
     void confirmNoSuchTurn(const TurnBegin &begin, const Replier &replier);
     //! Takes a turn into its account's limit, and goes on with it then or later.
     void limitBegin(const std::shared_ptr<Begin> &begun);
-    void noteLimited(const std::string &account, const std::string &id, const RequestLimiter::Verdict &verdict);
+    void noteLimited(const std::string &account, const std::string &id, const RequestLimiter::Decision &decision);
     //! Calls back as soon as no other VM can admit the account's requests besides this one, and a successor would know
     //! of those that were. \param until  give up then, with false
     void mayAdmit(const std::string &account, TimePoint until, std::function<void(bool)> work);
@@ -168,7 +168,7 @@
     void readHistory(const std::shared_ptr<Begin> &begun);
     //! Goes on with a begin whose history is there.
     //! The turn's program has run a turn before, or runs one now.
-    [[nodiscard]] bool isUnderWay(const TurnBegin &begin) const;
+    [[nodiscard]] bool isInProgress(const TurnBegin &begin) const;
     void startBegin(const std::shared_ptr<Begin> &begun);
     void placeBegin(const std::shared_ptr<Begin> &begun);
     void onPlaced(Begin &begun, const std::string &backend);
@@ -181,16 +181,16 @@
     //! Time since the oldest begin was proposed that no quorum has decided yet; 0 when there is none.
     [[nodiscard]] Milliseconds commitDelay(TimePoint now);
     [[nodiscard]] bool isOverloaded(const TurnBegin &begin, TimePoint now);
-    [[nodiscard]] bool hasNewDocument(const NewsRequest &request) const;
-    [[nodiscard]] bool hasNewList(const NewsRequest &request) const;
+    [[nodiscard]] bool hasNewDocument(const UpdateRequest &request) const;
+    [[nodiscard]] bool hasNewList(const UpdateRequest &request) const;
     //! There is something new to answer with.
-    [[nodiscard]] bool isDue(const NewsRequest &request) const;
+    [[nodiscard]] bool isDue(const UpdateRequest &request) const;
     //! Makes the document in force ready to be sent in buckets.
     void offerDocument();
     //! Answers entries that wait for news: with what is new, or that there is nothing yet, or that another VM leads.
-    void serveNews();
+    void serveUpdates();
     //! \returns the bytes of what is new in the answer
-    std::size_t replyNews(const NewsRequest &request, const Replier &replier, bool withContent);
+    std::size_t replyUpdate(const UpdateRequest &request, const Replier &replier, bool withContent);
     //! Tells those that wait for a leader: that it is this VM, or that their time is over.
     void answerWatchers(bool all);
     void planMembers();
@@ -216,7 +216,7 @@
     ConsensusDriver driver_;
     boost::asio::steady_timer joinTimer_;
     boost::asio::steady_timer tellTimer_;
-    GroupContacts contacts_;
+    GroupDiscovery discovery_;
     std::size_t nextAsked_ = 0;
     //! Since when no leader is known; nothing while one is.
     std::optional<TimePoint> searchingSince_;
@@ -229,22 +229,22 @@
     std::unordered_map<std::string, Replier> finishes_;
     TurnPlacement placement_;
     RequestLimiter limiter_;
-    NewsQuestions news_;
-    Counter &newsPutOff_;
+    PendingUpdates pendingUpdates_;
+    Counter &deferredUpdates_;
     Histogram &placeSeconds_;
     Counter &takeovers_;
-    Counter &spentTurns_;
+    Counter &exhaustedTurns_;
     Counter &unknownTurns_;
     Counter &limited_;
     Counter &overloaded_;
     TurnBeginStatus lastApplied_ = TurnBeginStatus::Granted;
     //! What a ledger VM said when it last asked to join, which members do too.
-    struct Asker {
+    struct JoinRequester {
         TimePoint at {};
-        LogIndex holdsUpTo = 0;
+        LogIndex completeUpTo = 0;
         std::string failureDomain;
     };
-    std::unordered_map<VmName, Asker> askers_;
+    std::unordered_map<VmName, JoinRequester> joinRequesters_;
     //! VMs whose record is proposed and not decided yet.
     std::set<VmName> proposedVms_;
     //! Entries that want to hear at once if this VM becomes the leader.
--- a/src/gateway/cp_ledger_news.cpp
+++ b/src/gateway/cp_ledger_updates.cpp
@@ -8,9 +8,9 @@
 
 // Most that one answer brings of the document, and of the list: on a way that carries 6 Mbit/s both together take a
 // third of a second, well within the time that an entry waits for them.
-constexpr std::size_t mostNewsBytes = 128U << 10U;
+constexpr std::size_t maxUpdateBytes = 128U << 10U;
 // An entry whose news can't be afforded hears in time that the leader is there.
-constexpr Milliseconds shortestNewsWait {300};
+constexpr Milliseconds minUpdateWait {300};
 
 std::size_t bytesOf(const std::optional<ContentDelta> &delta)
 {
@@ -25,17 +25,17 @@
 
 } // namespace
 
-bool LedgerService::hasNewDocument(const NewsRequest &request) const
+bool LedgerService::hasNewDocument(const UpdateRequest &request) const
 {
     return request.documentVersion < offeredVersion_;
 }
 
-bool LedgerService::hasNewList(const NewsRequest &request) const
+bool LedgerService::hasNewList(const UpdateRequest &request) const
 {
     return backends_.version.term != 0 && request.list < backends_.version;
 }
 
-bool LedgerService::isDue(const NewsRequest &request) const
+bool LedgerService::isDue(const UpdateRequest &request) const
 {
     return hasNewDocument(request) || hasNewList(request);
 }
@@ -47,7 +47,7 @@
     }
 }
 
-void LedgerService::onNews(const NewsRequest &request, const Replier &replier)
+void LedgerService::onUpdateRequest(const UpdateRequest &request, const Replier &replier)
 {
     const TimePoint now = std::chrono::steady_clock::now();
     const bool isWatch = !request.wantsContent && request.waitMs != 0;
@@ -56,12 +56,12 @@
         return;
     }
     if (!leads() || !request.wantsContent) {
-        replyNews(request, replier, false);
+        replyUpdate(request, replier, false);
         return;
     }
     const Milliseconds wait(request.waitMs);
-    news_.add(request, replier, now, isDue(request) ? std::max(shortestNewsWait, wait) : wait);
-    serveNews();
+    pendingUpdates_.add(request, replier, now, isDue(request) ? std::max(minUpdateWait, wait) : wait);
+    serveUpdates();
 }
 
 void LedgerService::offerDocument()
@@ -70,7 +70,7 @@
         return;
     }
     triedVersion_ = state_.documentVersion();
-    const Result<RouteDocument> document = parts_.dialect.readDocument(state_.document());
+    const Result<RouteDocument> document = parts_.adapter.readDocument(state_.document());
     if (!document) {
         // It was read when it was put, by this build or another one. Entries go on by what they have, and know that
         // they are behind.
@@ -87,33 +87,33 @@
     offeredVersion_ = triedVersion_;
 }
 
-void LedgerService::serveNews()
+void LedgerService::serveUpdates()
 {
-    if (news_.isEmpty()) {
+    if (pendingUpdates_.isEmpty()) {
         return;
     }
     const TimePoint now = std::chrono::steady_clock::now();
     if (!leads()) {
-        for (const NewsQuestions::Question &question : news_.takeAll()) {
-            replyNews(question.request, question.replier, false);
+        for (const PendingUpdates::Question &question : pendingUpdates_.takeAll()) {
+            replyUpdate(question.request, question.replier, false);
         }
         return;
     }
     offerDocument();
-    news_.serve(
-        now, [this](const NewsRequest &request) { return isDue(request); },
-        [this](const NewsQuestions::Question &question) {
-            return replyNews(question.request, question.replier, true);
+    pendingUpdates_.serve(
+        now, [this](const UpdateRequest &request) { return isDue(request); },
+        [this](const PendingUpdates::Question &question) {
+            return replyUpdate(question.request, question.replier, true);
         });
-    for (const NewsQuestions::Question &question : news_.takeExpired(now)) {
-        newsPutOff_.add(isDue(question.request) ? 1 : 0);
-        replyNews(question.request, question.replier, false);
+    for (const PendingUpdates::Question &question : pendingUpdates_.takeExpired(now)) {
+        deferredUpdates_.add(isDue(question.request) ? 1 : 0);
+        replyUpdate(question.request, question.replier, false);
     }
 }
 
-std::size_t LedgerService::replyNews(const NewsRequest &request, const Replier &replier, bool withContent)
+std::size_t LedgerService::replyUpdate(const UpdateRequest &request, const Replier &replier, bool withContent)
 {
-    NewsReply reply;
+    UpdateReply reply;
     reply.isLeader = leads();
     reply.leader = leader();
     // All ledger VMs, members or not: each answers the directory, so each has to hear from the entries.
@@ -122,7 +122,7 @@
     }
     if (reply.members.empty()) {
         // A VM outside of the group knows its table by hearsay only: whom it remembers is who may know more.
-        reply.members = sighting().members;
+        reply.members = groupView().members;
     }
     if (reply.isLeader) {
         const Membership &members = driver_.node().membership();
@@ -133,11 +133,11 @@
         reply.listAgeMs = static_cast<std::uint32_t>(toMs(std::chrono::steady_clock::now() - listReadAt_));
     }
     if (reply.isLeader && withContent && hasNewList(request)) {
-        reply.listDelta = listBuckets_.differing(request.listDigests, mostNewsBytes);
+        reply.listDelta = listBuckets_.differing(request.listDigests, maxUpdateBytes);
     }
     if (reply.isLeader && withContent && hasNewDocument(request)) {
         reply.documentVersion = offeredVersion_;
-        reply.documentDelta = documentBuckets_.differing(request.documentDigests, mostNewsBytes);
+        reply.documentDelta = documentBuckets_.differing(request.documentDigests, maxUpdateBytes);
     }
     const std::size_t bytes = bytesOf(reply.listDelta) + bytesOf(reply.documentDelta);
     replier->reply(std::move(reply));
@@ -150,7 +150,7 @@
     const bool isLeader = leads();
     for (Watcher &watcher : std::exchange(watchers_, {})) {
         if (all || isLeader || now >= watcher.deadline) {
-            replyNews(watcher.request, watcher.replier, false);
+            replyUpdate(watcher.request, watcher.replier, false);
         } else {
             watchers_.push_back(std::move(watcher));
         }
@@ -176,7 +176,7 @@
     parts_.log.info(
         "backends.changed",
         {{"term", term}, {"sequence", sequence}, {"servers", backends_.servers.size()}, {"leaving", leaving}});
-    serveNews();
+    serveUpdates();
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_list_reader.cpp
+++ b/src/gateway/cp_list_reader.cpp
@@ -24,7 +24,7 @@
 ListReader::ListReader(Parts parts)
     : parts_(parts)
     , calls_(parts.metrics.counter("cardamompost_list_calls_total"))
-    , leftOut_(parts.metrics.counter("cardamompost_list_entries_left_out_total"))
+    , skipped_(parts.metrics.counter("cardamompost_list_entries_left_out_total"))
     , failures_(parts.metrics.counter("cardamompost_list_failures_total"))
 {
 }
@@ -56,12 +56,12 @@
 {
     std::vector<BackendServer> servers;
     std::string page;
-    std::size_t leftOut = 0;
+    std::size_t skipped = 0;
     std::string reason;
     for (int count = 0; count < maxPages; ++count) {
         HttpCall call;
         call.address = parts_.settings.backendList;
-        call.target = parts_.dialect.backendsTarget(page);
+        call.target = parts_.adapter.backendsTarget(page);
         call.timeout = callTimeout;
         calls_.add();
         const Result<HttpResponse> response = co_await client_.request(std::move(call));
@@ -71,15 +71,15 @@
         if (response.value().status != statusOk) {
             co_return makeError(ErrorKind::BackendFailed, "status " + std::to_string(response.value().status));
         }
-        Result<BackendPage> read = parts_.dialect.readBackends(response.value().body);
+        Result<BackendPage> read = parts_.adapter.readBackends(response.value().body);
         if (!read) {
             co_return read.error();
         }
         for (BackendServer &server : read.value().servers) {
             servers.push_back(std::move(server));
         }
-        if (read.value().leftOut != 0) {
-            leftOut += read.value().leftOut;
+        if (read.value().skipped != 0) {
+            skipped += read.value().skipped;
             reason = read.value().reason;
         }
         page = read.value().next;
@@ -87,17 +87,17 @@
             break;
         }
     }
-    noteLeftOut(leftOut, reason);
+    reportSkipped(skipped, reason);
     co_return latestIncarnations(std::move(servers));
 }
 
-void ListReader::noteLeftOut(std::size_t leftOut, const std::string &reason)
+void ListReader::reportSkipped(std::size_t skipped, const std::string &reason)
 {
-    leftOut_.add(leftOut);
-    if (leftOut != lastLeftOut_ && leftOut != 0) {
-        parts_.log.warn("list.entries_left_out", {{"entries", leftOut}, {"reason", reason}});
+    skipped_.add(skipped);
+    if (skipped != lastSkipped_ && skipped != 0) {
+        parts_.log.warn("list.entries_left_out", {{"entries", skipped}, {"reason", reason}});
     }
-    lastLeftOut_ = leftOut;
+    lastSkipped_ = skipped;
 }
 
 void ListReader::note(const Result<std::vector<BackendServer>> &read)
--- a/src/gateway/cp_list_reader.hpp
+++ b/src/gateway/cp_list_reader.hpp
@@ -3,7 +3,7 @@
 
 #include "cp_ledger_service.hpp"
 
-#include <cardamompost/edge/cp_idialect.hpp>
+#include <cardamompost/edge/cp_iplatform_adapter.hpp>
 #include <cardamompost/net/cp_http_client.hpp>
 
 namespace cardamompost
@@ -16,7 +16,7 @@
     struct Parts {
         boost::asio::io_context &io;
         const GatewaySettings &settings;
-        const IDialect &dialect;
+        const IPlatformAdapter &adapter;
         LedgerService &service;
         EventLog &log;
         MetricRegistry &metrics;
@@ -33,17 +33,17 @@
 private:
     boost::asio::awaitable<void> run();
     boost::asio::awaitable<Result<std::vector<BackendServer>>> readAll();
-    void noteLeftOut(std::size_t leftOut, const std::string &reason);
+    void reportSkipped(std::size_t skipped, const std::string &reason);
     void note(const Result<std::vector<BackendServer>> &read);
 
     Parts parts_;
     HttpClient client_;
     Counter &calls_;
-    Counter &leftOut_;
+    Counter &skipped_;
     Counter &failures_;
     bool isStopped_ = false;
     bool hadFailure_ = false;
-    std::size_t lastLeftOut_ = 0;
+    std::size_t lastSkipped_ = 0;
 };
 
 } // namespace cardamompost
--- a/src/gateway/cp_own_responses.hpp
+++ b/src/gateway/cp_local_responses.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_OWN_RESPONSES_HPP_INCLUDED
-#define CARDAMOMPOST_CP_OWN_RESPONSES_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_LOCAL_RESPONSES_HPP_INCLUDED
+#define CARDAMOMPOST_CP_LOCAL_RESPONSES_HPP_INCLUDED
 
 #include <cardamompost/core/cp_error.hpp>
 #include <cardamompost/net/cp_http_message.hpp>
@@ -43,4 +43,4 @@
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_OWN_RESPONSES_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_LOCAL_RESPONSES_HPP_INCLUDED
--- a/src/gateway/cp_presence_table.cpp
+++ b/src/gateway/cp_presence_table.cpp
@@ -24,7 +24,7 @@
 {
     // Guards against a VM that stood still itself and takes everybody else for silent: what counts is how long others
     // were heard and this one was not. Somebody who is the only one, or silent for very long, is silent all the same.
-    return lastHeard_ - item.at >= item.gaps.suspectAfter() || now - item.at >= entrySilence.ceiling;
+    return lastHeard_ - item.at >= item.gaps.suspicionTimeout() || now - item.at >= entrySilence.ceiling;
 }
 
 std::vector<EntryPlace> PresenceTable::ready(TimePoint now) const
@@ -40,7 +40,7 @@
     return places;
 }
 
-double PresenceTable::darkShare(std::string_view failureDomain, TimePoint now) const
+double PresenceTable::unreachableShare(std::string_view failureDomain, TimePoint now) const
 {
     double known = 0;
     double dark = 0;
@@ -48,7 +48,7 @@
         const auto silence = now - item.at;
         if (item.presence.isDirectory && item.presence.failureDomain == failureDomain && silence < goneAfter) {
             known += 1;
-            dark += silence >= darkAfter ? 1 : 0;
+            dark += silence >= unreachableAfter ? 1 : 0;
         }
     }
     return known == 0 ? 0 : dark / known;
--- a/src/gateway/cp_presence_table.hpp
+++ b/src/gateway/cp_presence_table.hpp
@@ -3,7 +3,7 @@
 
 #include <cardamompost/core/cp_time.hpp>
 #include <cardamompost/ledger/cp_ledger_message.hpp>
-#include <cardamompost/liveness/cp_contact_gaps.hpp>
+#include <cardamompost/liveness/cp_silence_detector.hpp>
 
 #include <map>
 
@@ -16,10 +16,10 @@
 {
 public:
     //! An entry that was silent for longer than usual, between these, gets no new callers.
-    static constexpr SilenceBounds entrySilence {Milliseconds(250), Milliseconds(900)};
+    static constexpr SuspicionBounds entrySilence {Milliseconds(250), Milliseconds(900)};
 
     //! From so long a silence on a directory is dark: each caller that asks it waits for a second in vain.
-    static constexpr Milliseconds darkAfter {600};
+    static constexpr Milliseconds unreachableAfter {600};
     //! One that was silent for longer will not come back at its address, and callers know it no more.
     static constexpr Milliseconds goneAfter {20'000};
 
@@ -28,13 +28,13 @@
     //! In order of their addresses.
     [[nodiscard]] std::vector<EntryPlace> ready(TimePoint now) const;
     //! Of a failure domain's directories, the share that is dark, 0 to 1.
-    [[nodiscard]] double darkShare(std::string_view failureDomain, TimePoint now) const;
+    [[nodiscard]] double unreachableShare(std::string_view failureDomain, TimePoint now) const;
 
 private:
     struct Item {
         Presence presence;
         TimePoint at {};
-        ContactGaps gaps {entrySilence};
+        SilenceDetector gaps {entrySilence};
     };
 
     [[nodiscard]] bool isSilent(const Item &item, TimePoint now) const;
--- a/src/gateway/cp_request_head.cpp
+++ b/src/gateway/cp_request_head.cpp
@@ -83,7 +83,7 @@
 }
 
 // Of milliseconds or tokens; sums of many stay far from where numbers end.
-constexpr std::int64_t mostOfANumber = 1'000'000'000'000;
+constexpr std::int64_t maxJsonInteger = 1'000'000'000'000;
 // Requests that one server can run or queue; a report of more is none.
 constexpr std::int64_t mostRequests = 1'000'000;
 // Seconds; no connection rests longer, whatever a server says.
@@ -105,8 +105,8 @@
 
 void readTimes(const CallerRequest &request, const HeaderNames &names, RequestFacts &facts)
 {
-    if (const auto patience = headerNumber(request, names.deadline, facts)) {
-        facts.patience = Milliseconds(std::max<std::int64_t>(*patience, 0));
+    if (const auto callerTimeout = headerNumber(request, names.deadline, facts)) {
+        facts.callerTimeout = Milliseconds(std::max<std::int64_t>(*callerTimeout, 0));
     }
     if (const auto left = headerNumber(request, names.programTimeLeft, facts)) {
         facts.programTimeLeft = Milliseconds(*left);
@@ -151,7 +151,7 @@
     std::int64_t number = 0;
     const char *last = text.data() + text.size();
     auto [end, error] = std::from_chars(text.data(), last, number);
-    if (error != std::errc() || number > mostOfANumber || number < -mostOfANumber) {
+    if (error != std::errc() || number > maxJsonInteger || number < -maxJsonInteger) {
         return std::nullopt;
     }
     if (end != last && *end == '.') {
--- a/src/gateway/cp_request_head.hpp
+++ b/src/gateway/cp_request_head.hpp
@@ -4,7 +4,7 @@
 #include "cp_caller_connection.hpp"
 
 #include <cardamompost/accounts/cp_account.hpp>
-#include <cardamompost/edge/cp_idialect.hpp>
+#include <cardamompost/edge/cp_iplatform_adapter.hpp>
 
 #include <boost/beast/http/fields.hpp>
 
@@ -20,7 +20,7 @@
     std::string session;
     std::string previousTurn;
     //! How long the caller waits; nothing when it does not say.
-    std::optional<Milliseconds> patience;
+    std::optional<Milliseconds> callerTimeout;
     //! Until the program should be finished; below 0 when it is late.
     std::optional<Milliseconds> programTimeLeft;
     //! Negative for none.
--- a/src/gateway/cp_request_report.cpp
+++ b/src/gateway/cp_request_report.cpp
@@ -27,7 +27,7 @@
 
 RequestReport::RequestReport(Parts parts)
     : parts_(parts)
-    , onOldNews_(parts.metrics.counter("cardamompost_requests_on_old_news_total"))
+    , onStaleUpdates_(parts.metrics.counter("cardamompost_requests_on_old_news_total"))
 {
 }
 
@@ -52,7 +52,7 @@
     line["cause"] = request.cause;
     line["ms"] = ms;
     line["document"] = request.table ? request.table->version() : 0;
-    line["news_age_ms"] = parts_.ledger.newsAge().count();
+    line["news_age_ms"] = parts_.ledger.updateAge().count();
     if (request.route != nullptr) {
         line["route"] = request.route->name;
         line["program"] = request.facts.program;
@@ -76,8 +76,8 @@
     if (!request.detail.empty()) {
         line["detail"] = request.detail;
     }
-    if (parts_.ledger.newsAge() > LedgerClient::oldNews) {
-        onOldNews_.add();
+    if (parts_.ledger.updateAge() > LedgerClient::maxUpdateAge) {
+        onStaleUpdates_.add();
     }
     // Guards the lines that somebody will look for: a warning is written at once, so that it outlives a process that is
     // killed the moment after.
--- a/src/gateway/cp_request_report.hpp
+++ b/src/gateway/cp_request_report.hpp
@@ -26,7 +26,7 @@
 
 private:
     Parts parts_;
-    Counter &onOldNews_;
+    Counter &onStaleUpdates_;
 };
 
 } // namespace cardamompost
--- a/src/gateway/cp_turn_text_store.cpp
+++ b/src/gateway/cp_turn_text_store.cpp
@@ -19,7 +19,7 @@
 constexpr unsigned maxFetches = 4;
 constexpr Milliseconds fetchTimeout {800};
 // A member that had none of what it was asked for, or was silent, is not asked again before this.
-constexpr Milliseconds poorFor {500};
+constexpr Milliseconds degradedFor {500};
 // The leader has most to do: it is asked only while fewer others can answer.
 constexpr std::size_t enoughWithoutLeader = 2;
 constexpr Milliseconds tickInterval {100};
@@ -87,7 +87,7 @@
 {
     TurnTexts &texts = parts_.texts();
     std::vector<LogIndex> onDisk;
-    bool isWhole = true;
+    bool isComplete = true;
     for (const LogIndex index : read->indexes) {
         if (read->texts.contains(index)) {
             continue;
@@ -96,13 +96,13 @@
             read->texts.emplace(index, *text);
             continue;
         }
-        isWhole = false;
+        isComplete = false;
         if (texts.isStored(index)) {
             onDisk.push_back(index);
         }
     }
-    if (isWhole || timeNow() >= read->deadline) {
-        finish(*read, isWhole);
+    if (isComplete || timeNow() >= read->deadline) {
+        finish(*read, isComplete);
         return true;
     }
     if (!onDisk.empty() && !read->isReading) {
@@ -128,13 +128,13 @@
     }
 }
 
-void TurnTextStore::finish(Read &read, bool isWhole)
+void TurnTextStore::finish(Read &read, bool isComplete)
 {
     const Done done = std::exchange(read.done, {});
     if (!done) {
         return;
     }
-    if (!isWhole) {
+    if (!isComplete) {
         parts_.log.warn("texts.unread", {{"wanted", read.indexes.size()}, {"had", read.texts.size()}});
         done(std::nullopt);
         return;
@@ -202,7 +202,7 @@
 {
     TurnTexts &texts = parts_.texts();
     for (const LogIndex index : texts.beginStoring()) {
-        batch.putLooseEntry(textGroup, index, *texts.find(index));
+        batch.putUnorderedEntry(textGroup, index, *texts.find(index));
     }
     batch.forget(textGroup, texts.takeForgotten());
 }
@@ -259,8 +259,8 @@
 {
     std::vector<VmName> members = parts_.members();
     std::erase_if(members, [&](const VmName &member) {
-        const auto poor = poorUntil_.find(member);
-        return !parts_.peers.client(member) || (poor != poorUntil_.end() && timeNow() < poor->second);
+        const auto poor = degradedUntil_.find(member);
+        return !parts_.peers.client(member) || (poor != degradedUntil_.end() && timeNow() < poor->second);
     });
     if (members.empty()) {
         return std::nullopt;
@@ -291,7 +291,7 @@
         requested_.erase(index);
     }
     if (reply.texts.empty()) {
-        poorUntil_[member] = timeNow() + poorFor;
+        degradedUntil_[member] = timeNow() + degradedFor;
         fetchMissing();
         return;
     }
@@ -317,7 +317,7 @@
     job.group = textGroup;
     job.prepare = [kept](LogStore & /*store*/, LogBatch &batch) {
         for (TurnText &item : *kept) {
-            batch.putLooseEntry(textGroup, item.index, std::move(item.text));
+            batch.putUnorderedEntry(textGroup, item.index, std::move(item.text));
         }
     };
     job.finish = [this, kept](const Result<void> &written) {
--- a/src/gateway/cp_turn_text_store.hpp
+++ b/src/gateway/cp_turn_text_store.hpp
@@ -62,7 +62,7 @@
     //! Takes what is in memory, and asks the disk for what it holds. \returns true when the read is over
     bool advance(const std::shared_ptr<Read> &read);
     void advanceWaiting();
-    void finish(Read &read, bool isWhole);
+    void finish(Read &read, bool isComplete);
     void readDisk(std::vector<LogIndex> indexes, std::function<void(Texts texts)> done);
     [[nodiscard]] std::vector<LogIndex> nextToFetch() const;
     //! Nothing while none is known that could answer.
@@ -81,7 +81,7 @@
     unsigned fetches_ = 0;
     std::size_t nextMember_ = 0;
     //! Members that had none of what they were asked for, or did not answer.
-    std::unordered_map<VmName, TimePoint> poorUntil_;
+    std::unordered_map<VmName, TimePoint> degradedUntil_;
     bool wasMissing_ = false;
     Counter &fetched_;
     Counter &diskReads_;
--- a/src/standin/cp_engine_model.cpp
+++ b/src/standin/cp_engine_model.cpp
@@ -56,9 +56,9 @@
     std::int64_t tokens = 0;
     bool inWord = false;
     for (const char c : text) {
-        const bool isBlank = c == ' ' || c == '\n' || c == '\t';
-        tokens += !isBlank && !inWord ? 1 : 0;
-        inWord = !isBlank;
+        const bool isUninitialized = c == ' ' || c == '\n' || c == '\t';
+        tokens += !isUninitialized && !inWord ? 1 : 0;
+        inWord = !isUninitialized;
     }
     return tokens;
 }
--- a/src/standin/cp_standin_server.cpp
+++ b/src/standin/cp_standin_server.cpp
@@ -161,7 +161,7 @@
     if (isStream) {
         co_await sendStream(id, 0, responder);
     } else {
-        co_await sendWhole(id, responder);
+        co_await sendComplete(id, responder);
     }
 }
 
@@ -224,7 +224,7 @@
     }
 }
 
-asio::awaitable<void> EngineServer::sendWhole(std::string id, IHttpResponder &responder)
+asio::awaitable<void> EngineServer::sendComplete(std::string id, IHttpResponder &responder)
 {
     while (true) {
         std::optional<HttpResponse> response;
--- a/src/standin/cp_standin_server.hpp
+++ b/src/standin/cp_standin_server.hpp
@@ -27,7 +27,7 @@
     boost::asio::awaitable<void> handle(HttpRequest &request, IHttpResponder &responder);
     boost::asio::awaitable<void> complete(const HttpRequest &request, IHttpResponder &responder);
     boost::asio::awaitable<void> sendStream(std::string id, std::size_t after, IHttpResponder &responder);
-    boost::asio::awaitable<void> sendWhole(std::string id, IHttpResponder &responder);
+    boost::asio::awaitable<void> sendComplete(std::string id, IHttpResponder &responder);
     [[nodiscard]] HttpResponse answer(const HttpRequest &request);
     [[nodiscard]] HttpResponse answerCache(const HttpRequest &request, const boost::json::object &body);
     [[nodiscard]] boost::json::object loadBody();
--- a/tests/accounts/cp_accounts.tests.cpp
+++ b/tests/accounts/cp_accounts.tests.cpp
@@ -71,9 +71,9 @@
     BOOST_TEST(scopedId("a", "b1") != scopedId("ab", "1"));
     BOOST_TEST(scopedId("", "1") == "1");
     BOOST_TEST(scopedId("a", "").empty());
-    BOOST_TEST(bareId(scopedId("a", "1")) == "1");
+    BOOST_TEST(unscopedId(scopedId("a", "1")) == "1");
     BOOST_TEST(accountOf(scopedId("a", "1")) == "a");
-    BOOST_TEST(bareId("1") == "1");
+    BOOST_TEST(unscopedId("1") == "1");
     BOOST_TEST(accountOf("1").empty());
 }
 
--- a/tests/consensus/cp_log_cut.tests.cpp
+++ b/tests/consensus/cp_compaction_policy.tests.cpp
@@ -1,4 +1,4 @@
-#include <cardamompost/consensus/cp_log_cut.hpp>
+#include <cardamompost/consensus/cp_compaction_policy.hpp>
 
 #include <boost/test/unit_test.hpp>
 
@@ -19,7 +19,7 @@
     double firstLog = 7.5 * megabyte;
 
     //! \returns snapshots that the learner was sent until it held everything; 0 if it did not within a minute
-    int snapshots(bool hasLearnerBehind) const
+    int snapshots(bool hasLaggingLearner) const
     {
         constexpr int minute = 60'000;
         double end = firstLog;
@@ -31,8 +31,8 @@
         double sentAt = cutAt;
         for (int ms = 0; ms < minute; ++ms) {
             end += written / 1000;
-            const LogCut cut {static_cast<std::size_t>(end - cutAt), static_cast<std::size_t>(snapshotBytes),
-                              hasLearnerBehind, 0};
+            const CompactionPolicy cut {static_cast<std::size_t>(end - cutAt), static_cast<std::size_t>(snapshotBytes),
+                                        hasLaggingLearner, 0};
             cutAt = cut.isDue() ? end : cutAt;
             if (left > 0) {
                 left -= taken / 1000;
@@ -69,25 +69,25 @@
 
 BOOST_AUTO_TEST_CASE(a_log_is_cut_at_its_bound_and_for_a_learner_at_twice_that)
 {
-    const auto isDue = [](std::size_t bytes, std::size_t snapshotBytes, bool hasLearnerBehind) {
-        return LogCut {bytes, snapshotBytes, hasLearnerBehind, 0}.isDue();
+    const auto isDue = [](std::size_t bytes, std::size_t snapshotBytes, bool hasLaggingLearner) {
+        return CompactionPolicy {bytes, snapshotBytes, hasLaggingLearner, 0}.isDue();
     };
-    BOOST_TEST(!isDue(LogCut::leastBytes - 1, 0, false));
-    BOOST_TEST(isDue(LogCut::leastBytes, 0, false));
-    BOOST_TEST(!isDue(LogCut::leastBytes, 0, true));
-    BOOST_TEST(isDue(2 * LogCut::leastBytes, 0, true));
+    BOOST_TEST(!isDue(CompactionPolicy::leastBytes - 1, 0, false));
+    BOOST_TEST(isDue(CompactionPolicy::leastBytes, 0, false));
+    BOOST_TEST(!isDue(CompactionPolicy::leastBytes, 0, true));
+    BOOST_TEST(isDue(2 * CompactionPolicy::leastBytes, 0, true));
     // A state that is larger than that bounds the log by its own size.
-    BOOST_TEST(!isDue(LogCut::leastBytes, 3 * LogCut::leastBytes, false));
+    BOOST_TEST(!isDue(CompactionPolicy::leastBytes, 3 * CompactionPolicy::leastBytes, false));
 }
 
 // Entries lost their leader within 0.05 s of the moment in which all five members cut their logs.
 BOOST_AUTO_TEST_CASE(members_whose_turns_differ_cut_at_different_lengths)
 {
-    const LogCut first {LogCut::leastBytes, 0, false, 0};
-    const LogCut second {LogCut::leastBytes, 0, false, 1};
+    const CompactionPolicy first {CompactionPolicy::leastBytes, 0, false, 0};
+    const CompactionPolicy second {CompactionPolicy::leastBytes, 0, false, 1};
     BOOST_TEST(first.isDue());
     BOOST_TEST(!second.isDue());
-    BOOST_TEST((LogCut {LogCut::leastBytes + LogCut::bytesATurn, 0, false, 1}.isDue()));
+    BOOST_TEST((CompactionPolicy {CompactionPolicy::leastBytes + CompactionPolicy::bytesATurn, 0, false, 1}.isDue()));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/consensus/cp_raft_node.tests.cpp
+++ b/tests/consensus/cp_raft_node.tests.cpp
@@ -294,7 +294,7 @@
     rejection.from = "vm-3";
     rejection.to = "vm-1";
     rejection.term = node.term();
-    rejection.isBlank = true;
+    rejection.isUninitialized = true;
     node.step(now, rejection);
     std::size_t pieces = 0;
     const auto countPieces = [&] {
--- a/tests/gateway/cp_backend_pool.tests.cpp
+++ b/tests/gateway/cp_backend_pool.tests.cpp
@@ -178,14 +178,14 @@
         servers.push_back(server(std::to_string(i)));
     }
     pool.setList(list(1, 1, servers));
-    int leftOut = 0;
+    int avoided = 0;
     for (const BackendServer &item : servers) {
         const auto backend = pool.find(item.id, now);
         pool.noteLost(*backend, now);
         pool.noteLost(*backend, now);
-        leftOut += backend->isAvoided(now) ? 1 : 0;
+        avoided += backend->isAvoided(now) ? 1 : 0;
     }
-    BOOST_TEST(leftOut == 4);
+    BOOST_TEST(avoided == 4);
 }
 
 // A server crashes and starts again under its id, and the list that an entry gets next is behind once more. The new
@@ -196,9 +196,9 @@
     MetricRegistry metrics;
     BackendPool pool("entry", "apapa", metrics);
     BackendServer before = server("s1");
-    before.born = 1000;
+    before.incarnation = 1000;
     BackendServer after = before;
-    after.born = 2000;
+    after.incarnation = 2000;
     pool.setList(list(1, 1, {before}));
     const auto old = pool.find("s1", now);
     BOOST_REQUIRE(old);
@@ -219,13 +219,13 @@
 BOOST_AUTO_TEST_CASE(of_two_incarnations_in_one_list_the_later_one_counts)
 {
     BackendServer before = server("s1", true);
-    before.born = 1000;
+    before.incarnation = 1000;
     BackendServer after = server("s1");
-    after.born = 2000;
+    after.incarnation = 2000;
     for (const auto &servers : {std::vector {before, after}, std::vector {after, before}}) {
         const std::vector<BackendServer> kept = latestIncarnations(servers);
         BOOST_REQUIRE(kept.size() == 1U);
-        BOOST_TEST(kept.front().born == 2000U);
+        BOOST_TEST(kept.front().incarnation == 2000U);
     }
 }
 
