--- a/tests/gateway/cp_presence_table.tests.cpp
+++ b/tests/gateway/cp_presence_table.tests.cpp
@@ -72,13 +72,13 @@
     };
     PresenceTable table;
     table.note(directory("x", "apapa"), now);
-    table.note(directory("y", "apapa"), now + PresenceTable::darkAfter);
-    table.note(directory("z", "onne"), now + PresenceTable::darkAfter);
-    const TimePoint later = now + PresenceTable::darkAfter;
-    BOOST_TEST(table.darkShare("apapa", later) == 0.5);
-    BOOST_TEST(table.darkShare("onne", later) == 0);
-    BOOST_TEST(table.darkShare("tincan", later) == 0);
-    BOOST_TEST(table.darkShare("apapa", now + PresenceTable::goneAfter) == 1);
+    table.note(directory("y", "apapa"), now + PresenceTable::unreachableAfter);
+    table.note(directory("z", "onne"), now + PresenceTable::unreachableAfter);
+    const TimePoint later = now + PresenceTable::unreachableAfter;
+    BOOST_TEST(table.unreachableShare("apapa", later) == 0.5);
+    BOOST_TEST(table.unreachableShare("onne", later) == 0);
+    BOOST_TEST(table.unreachableShare("tincan", later) == 0);
+    BOOST_TEST(table.unreachableShare("apapa", now + PresenceTable::goneAfter) == 1);
     BOOST_TEST(table.ready(now).empty());
 }
 
--- a/tests/gateway/cp_request_head.tests.cpp
+++ b/tests/gateway/cp_request_head.tests.cpp
@@ -57,7 +57,7 @@
                           "X-Budget: 2320\r\nX-Left: -50\r\nX-Previous: p\r\n\r\n"),
                     testNames());
     BOOST_TEST(facts.id == "9c");
-    BOOST_TEST(facts.patience->count() == 4000);
+    BOOST_TEST(facts.callerTimeout->count() == 4000);
     BOOST_TEST(facts.tokensIn == 1460);
     BOOST_TEST(facts.tokensOutAtMost == 80);
     BOOST_TEST(facts.budget == 2320);
--- a/tests/ledger/cp_ledger_state.tests.cpp
+++ b/tests/ledger/cp_ledger_state.tests.cpp
@@ -16,7 +16,7 @@
     return {std::move(turn), "program", std::move(previous), most, budget, retentionMs};
 }
 
-TurnFinish finish(std::string turn, std::int64_t tokens, TurnEnding ending = TurnEnding::Whole,
+TurnFinish finish(std::string turn, std::int64_t tokens, TurnEnding ending = TurnEnding::Complete,
                   std::string previous = {})
 {
     TurnFinish result;
@@ -26,7 +26,7 @@
     result.ending = ending;
     result.tokens = tokens;
     result.retentionMs = retentionMs;
-    result.isKept = ending == TurnEnding::Whole;
+    result.isKept = ending == TurnEnding::Complete;
     result.input = "in-" + result.turn + ";";
     result.output = "out-" + result.turn + "\n";
     return result;
@@ -61,7 +61,7 @@
 {
     LedgerState state;
     BOOST_TEST(isStatus(apply(state, begin("a", 150)), TurnBeginStatus::Granted));
-    BOOST_TEST(isStatus(apply(state, begin("b", 150)), TurnBeginStatus::Spent));
+    BOOST_TEST(isStatus(apply(state, begin("b", 150)), TurnBeginStatus::BudgetExhausted));
     apply(state, finish("a", 40));
     BOOST_TEST(state.spent("program") == 40);
     BOOST_TEST(isStatus(apply(state, begin("c", 150)), TurnBeginStatus::Granted));
@@ -70,7 +70,7 @@
 BOOST_AUTO_TEST_CASE(reservations_that_are_proposed_only_count_too)
 {
     const LedgerState state;
-    BOOST_TEST(isStatus(state.check(begin("a", 150), 150), TurnBeginStatus::Spent));
+    BOOST_TEST(isStatus(state.check(begin("a", 150), 150), TurnBeginStatus::BudgetExhausted));
     BOOST_TEST(isStatus(state.check(begin("a", 150), 100), TurnBeginStatus::Granted));
 }
 
@@ -111,8 +111,8 @@
 {
     LedgerState state;
     apply(state, finish("a", 1));
-    apply(state, finish("b", 1, TurnEnding::Whole, "a"));
-    apply(state, finish("other", 1, TurnEnding::Whole, "a"));
+    apply(state, finish("b", 1, TurnEnding::Complete, "a"));
+    apply(state, finish("other", 1, TurnEnding::Complete, "a"));
     BOOST_TEST(historyOf(state, "b") == "in-a;out-a\nin-b;out-b\n");
     BOOST_TEST(isStatus(apply(state, begin("c", 1, -1, "nobody")), TurnBeginStatus::NoSuchTurn));
     BOOST_TEST(isStatus(apply(state, begin("c", 1, -1, "b")), TurnBeginStatus::Granted));
@@ -124,7 +124,7 @@
 {
     LedgerState state;
     apply(state, finish("a", 1), startMs);
-    apply(state, finish("b", 1, TurnEnding::Whole, "a"), startMs + 50'000);
+    apply(state, finish("b", 1, TurnEnding::Complete, "a"), startMs + 50'000);
     apply(state, finish("x", 1), startMs + 100'000);
     BOOST_TEST(historyOf(state, "b") == "in-a;out-a\nin-b;out-b\n");
     apply(state, finish("y", 1), startMs + 150'000);
@@ -146,7 +146,7 @@
     const TimePoint elsewhere = start + std::chrono::hours(1000);
     LedgerClock second;
     second.takeOver(state.nowMs(), elsewhere);
-    apply(state, finish("b", 1, TurnEnding::Whole, "a"), second.nowMs(elsewhere + Milliseconds(59'000)));
+    apply(state, finish("b", 1, TurnEnding::Complete, "a"), second.nowMs(elsewhere + Milliseconds(59'000)));
     BOOST_TEST(state.hasTurn("a"));
     // Retention goes on over the change of leaders: it does not begin anew either.
     apply(state, finish("c", 1), second.nowMs(elsewhere + Milliseconds(180'000)));
@@ -160,7 +160,7 @@
     LedgerState state;
     apply(state, begin("a", 250));
     apply(state, finish("a", 250));
-    BOOST_TEST(isStatus(apply(state, begin("b", 10), startMs + 55'000), TurnBeginStatus::Spent));
+    BOOST_TEST(isStatus(apply(state, begin("b", 10), startMs + 55'000), TurnBeginStatus::BudgetExhausted));
 }
 
 BOOST_AUTO_TEST_CASE(the_highest_version_of_a_document_stays_in_force)
--- a/tests/ledger/cp_turn_texts.tests.cpp
+++ b/tests/ledger/cp_turn_texts.tests.cpp
@@ -134,7 +134,7 @@
         TurnFinish finish;
         finish.turn = "t" + std::to_string(index);
         finish.previous = index == 1 ? std::string() : "t" + std::to_string(index - 1);
-        finish.ending = TurnEnding::Whole;
+        finish.ending = TurnEnding::Complete;
         finish.isKept = true;
         finish.retentionMs = 60'000;
         finish.input = finish.turn;
--- a/tests/ledger/cp_news_queue.tests.cpp
+++ b/tests/ledger/cp_update_queue.tests.cpp
@@ -1,4 +1,4 @@
-#include <cardamompost/ledger/cp_news_queue.hpp>
+#include <cardamompost/ledger/cp_update_queue.hpp>
 
 #include <boost/test/unit_test.hpp>
 
@@ -15,7 +15,7 @@
 constexpr Milliseconds longestWait {500};
 constexpr Milliseconds tick {10};
 
-using Queue = NewsQueue<std::size_t>;
+using Queue = UpdateQueue<std::size_t>;
 
 //! Entries that ask for news without end, and a leader whose document changes; in virtual time, a millisecond a step.
 class World
@@ -72,9 +72,9 @@
         if (entry.hasAsked || now_ < entry.nextAsk) {
             return;
         }
-        NewsRequest request;
+        UpdateRequest request;
         request.documentVersion = entry.version;
-        request.behindMs = entry.lacksSince ? static_cast<std::uint32_t>(toMs(now_ - *entry.lacksSince)) : 0;
+        request.staleMs = entry.lacksSince ? static_cast<std::uint32_t>(toMs(now_ - *entry.lacksSince)) : 0;
         queue_.add(request, number, now_, longestWait);
         entry.hasAsked = true;
         serve();
@@ -93,7 +93,7 @@
     }
     void serve()
     {
-        const auto isDue = [&](const NewsRequest &request) { return request.documentVersion < version_; };
+        const auto isDue = [&](const UpdateRequest &request) { return request.documentVersion < version_; };
         queue_.serve(now_, isDue, [&](const Queue::Question &question) {
             answer(question.replier, version_);
             return answerBytes_;
@@ -141,12 +141,12 @@
 {
     Queue queue({megabyte, 1});
     const TimePoint now {Milliseconds(100'000)};
-    NewsRequest early;
-    early.behindMs = 3000;
+    UpdateRequest early;
+    early.staleMs = 3000;
     queue.add({}, 1, now, longestWait);
     queue.add(early, 2, now + Milliseconds(400), longestWait);
     std::vector<std::size_t> served;
-    const auto all = [](const NewsRequest & /*request*/) { return true; };
+    const auto all = [](const UpdateRequest & /*request*/) { return true; };
     const auto send = [&](const Queue::Question &question) {
         served.push_back(question.replier);
         return static_cast<std::size_t>(megabyte);
--- a/tests/limits/cp_request_limiter.tests.cpp
+++ b/tests/limits/cp_request_limiter.tests.cpp
@@ -20,9 +20,9 @@
 }
 
 //! Limits of accounts that have not sent anything for long.
-RequestLimiter rested(const std::vector<Account> &accounts, LimitPrecision precision = {})
+RequestLimiter rested(const std::vector<Account> &accounts, LimitTolerance tolerance = {})
 {
-    RequestLimiter limiter(precision);
+    RequestLimiter limiter(tolerance);
     limiter.setLimits(accounts, start - longAgo);
     return limiter;
 }
@@ -69,7 +69,7 @@
 {
     RequestLimiter limiter = rested({account("a", {10, 1})});
     BOOST_TEST(limiter.admit({"a", "1", false}, start).delay.count() == 0);
-    const RequestLimiter::Verdict second = limiter.admit({"a", "2", false}, start);
+    const RequestLimiter::Decision second = limiter.admit({"a", "2", false}, start);
     BOOST_TEST(second.isAdmitted);
     BOOST_TEST(second.delay.count() == 100);
 }
@@ -91,10 +91,10 @@
     admitted(limiter, "a", 10, start);
     Milliseconds last {0};
     for (int i = 0; i < 10; ++i) {
-        const RequestLimiter::Verdict verdict = limiter.admit({"a", "r" + std::to_string(i), false}, start);
-        BOOST_REQUIRE(!verdict.isAdmitted);
-        BOOST_TEST(verdict.retryAfter.count() > last.count());
-        last = verdict.retryAfter;
+        const RequestLimiter::Decision decision = limiter.admit({"a", "r" + std::to_string(i), false}, start);
+        BOOST_REQUIRE(!decision.isAdmitted);
+        BOOST_TEST(decision.retryAfter.count() > last.count());
+        last = decision.retryAfter;
     }
     BOOST_TEST(last.count() <= 2000);
 }
@@ -102,7 +102,7 @@
 // Guards against an account far over its limit of which every program loses some request and none ends.
 BOOST_AUTO_TEST_CASE(programs_that_have_begun_go_before_new_ones)
 {
-    RequestLimiter limiter = rested({account("a", {100, 100})}, LimitStorm::precision());
+    RequestLimiter limiter = rested({account("a", {100, 100})}, LimitStorm::tolerance());
     constexpr int requestsAProgram = 10;
     constexpr Milliseconds step {100};
     struct Program {
@@ -138,7 +138,7 @@
 // Guards against a division by a slice of 0 ms.
 BOOST_AUTO_TEST_CASE(a_window_of_a_few_milliseconds_is_kept_too)
 {
-    constexpr LimitPrecision tiny {Milliseconds(5), 0, 0};
+    constexpr LimitTolerance tiny {Milliseconds(5), 0, 0};
     RequestLimiter limiter = rested({account("a", {1000, 2})}, tiny);
     const int atOnce = admitted(limiter, "a", 100, start);
     BOOST_TEST(atOnce >= 2);
@@ -160,11 +160,11 @@
 // Guards accounts within their limit against refusals after each change of the leader.
 BOOST_AUTO_TEST_CASE(a_leader_that_takes_over_knows_what_was_reported)
 {
-    RequestLimiter first = rested({account("a", {100, 100})}, LimitStorm::precision());
+    RequestLimiter first = rested({account("a", {100, 100})}, LimitStorm::tolerance());
     const int before = admitted(first, "a", 20, start);
     UsageLog usage;
     usage.add(1000, first.takeReport(start));
-    RequestLimiter second = rested({account("a", {100, 100})}, LimitStorm::precision());
+    RequestLimiter second = rested({account("a", {100, 100})}, LimitStorm::tolerance());
     second.takeOver(usage, 1000, start);
     const int after = admitted(second, "a", 1000, start);
     const int alone = admitted(first, "a", 1000, start);
@@ -175,7 +175,7 @@
 
 BOOST_AUTO_TEST_CASE(an_account_waits_while_too_much_of_it_is_unreported)
 {
-    RequestLimiter limiter = rested({account("a", {100, 100})}, LimitStorm::precision());
+    RequestLimiter limiter = rested({account("a", {100, 100})}, LimitStorm::tolerance());
     BOOST_TEST(!limiter.waitsForReport("a"));
     admitted(limiter, "a", 20, start);
     BOOST_TEST(limiter.waitsForReport("a"));
--- a/tests/net/cp_peer_client.tests.cpp
+++ b/tests/net/cp_peer_client.tests.cpp
@@ -63,7 +63,7 @@
     SilentPeer peer(io);
     const auto client = std::make_shared<PeerClient>(io.get_executor(), peer.address(), nullptr, traffic);
     auto ask = [&](Milliseconds timeout) -> asio::awaitable<void> {
-        FrameBody body = NewsRequest {};
+        FrameBody body = UpdateRequest {};
         const Result<FrameBody> reply = co_await client->call(std::move(body), timeout);
         BOOST_TEST(!reply.has_value());
     };
--- a/tests/platform/cp_entry_news.tests.cpp
+++ b/tests/platform/cp_entry_replica.tests.cpp
@@ -1,6 +1,6 @@
-#include "gateway/cp_entry_news.hpp"
+#include "gateway/cp_entry_replica.hpp"
 
-#include "platform/cp_platform_dialect.hpp"
+#include "platform/cp_platform_adapter.hpp"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,23 +13,23 @@
 struct Entry {
     boost::asio::io_context io;
     GatewaySettings settings;
-    PlatformDialect dialect;
+    PlatformAdapter adapter;
     EventLog log {"entry-0", {}, "error"};
     MetricRegistry metrics;
     PeerTraffic traffic;
     PeerClients peers {io.get_executor(), traffic};
     LedgerClient ledger {{io, settings, peers, log, metrics}};
     BackendPool pool {"entry-0", "apapa", metrics};
-    Forwarder forwarder {{io, dialect, settings, pool, ledger, log, metrics}};
-    EntryNews news {{forwarder, pool, ledger, log}};
+    Forwarder forwarder {{io, adapter, settings, pool, ledger, log, metrics}};
+    EntryReplica replica {{forwarder, pool, ledger, log}};
 
     void take(std::uint64_t version, ContentDelta delta)
     {
-        NewsReply reply;
+        UpdateReply reply;
         reply.isLeader = true;
         reply.documentVersion = version;
         reply.documentDelta = std::move(delta);
-        news.take(reply);
+        replica.take(reply);
     }
     [[nodiscard]] std::uint64_t version() const
     {
--- a/tests/platform/cp_platform_dialect.tests.cpp
+++ b/tests/platform/cp_platform_adapter.tests.cpp
@@ -1,4 +1,4 @@
-#include "platform/cp_platform_dialect.hpp"
+#include "platform/cp_platform_adapter.hpp"
 
 #include <boost/test/unit_test.hpp>
 
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_CASE(a_whole_document_is_read)
 {
-    const RouteDocument document = PlatformDialect().readDocument(wholeDocument).value();
+    const RouteDocument document = PlatformAdapter().readDocument(wholeDocument).value();
     BOOST_TEST(document.version == 7U);
     BOOST_REQUIRE(document.routes.size() == 2U);
     const Route &route = document.routes[0];
@@ -40,20 +40,20 @@
 // An operator's transfer breaks off, or a script writes half a document. Taken as it is, it would drop routes in use.
 BOOST_AUTO_TEST_CASE(a_document_that_is_cut_short_anywhere_is_refused)
 {
-    const PlatformDialect dialect;
+    const PlatformAdapter adapter;
     for (std::size_t size = 0; size < wholeDocument.size(); ++size) {
-        BOOST_TEST(!dialect.readDocument(std::string_view(wholeDocument).substr(0, size)).has_value());
+        BOOST_TEST(!adapter.readDocument(std::string_view(wholeDocument).substr(0, size)).has_value());
     }
-    BOOST_TEST(!dialect.readDocument(R"({"version":7,"routes":[]})").has_value());
+    BOOST_TEST(!adapter.readDocument(R"({"version":7,"routes":[]})").has_value());
     BOOST_TEST(
-        !dialect.readDocument(R"({"version":7,"services":[],"routes":[{"name":"r","kind":"odd"}]})").has_value());
+        !adapter.readDocument(R"({"version":7,"services":[],"routes":[{"name":"r","kind":"odd"}]})").has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_page_of_the_list_is_read)
 {
-    const PlatformDialect dialect;
+    const PlatformAdapter adapter;
     const BackendPage page
-        = dialect
+        = adapter
               .readBackends(R"({"instances":[{"service":"s","address":"10.0.0.9:80","zone":"z","slots":16,
                 "state":"ready","id":"i-1"},{"service":"s","address":"10.0.0.8:80","zone":"z","slots":16,
                 "state":"draining","id":"i-2"}],"next":"p-50"})")
@@ -61,30 +61,30 @@
     BOOST_REQUIRE(page.servers.size() == 2U);
     BOOST_TEST(!page.servers[0].isLeaving);
     BOOST_TEST(page.servers[1].isLeaving);
-    BOOST_TEST(dialect.backendsTarget(page.next) == "/instances?page-token=p-50");
-    BOOST_TEST(!dialect.readBackends("{}").has_value());
-    BOOST_TEST(dialect.readBackends(R"({"instances":[],"next":null})").value().next.empty());
+    BOOST_TEST(adapter.backendsTarget(page.next) == "/instances?page-token=p-50");
+    BOOST_TEST(!adapter.readBackends("{}").has_value());
+    BOOST_TEST(adapter.readBackends(R"({"instances":[],"next":null})").value().next.empty());
 }
 
 BOOST_AUTO_TEST_CASE(answers_are_written)
 {
-    const PlatformDialect dialect;
-    BOOST_TEST(dialect.writeDirectory({"10.0.0.1:80"}, Milliseconds(2000))
+    const PlatformAdapter adapter;
+    BOOST_TEST(adapter.writeDirectory({"10.0.0.1:80"}, Milliseconds(2000))
                == R"({"addresses":["10.0.0.1:80"],"ttl-s":2E0})");
-    BOOST_TEST(dialect.writeRetirement(true) == R"({"state":"completed"})");
+    BOOST_TEST(adapter.writeRetirement(true) == R"({"state":"completed"})");
 }
 
 // A script or another version writes a document with a number that makes no sense. Taken as a default in silence, an
 // operator's time-out of "4 s" would be no time-out at all.
 BOOST_AUTO_TEST_CASE(a_field_of_another_type_or_out_of_bounds_is_refused_by_name)
 {
-    const PlatformDialect dialect;
+    const PlatformAdapter adapter;
     const auto refusal = [&](const std::string &from, const std::string &to) {
         std::string bytes = wholeDocument;
         const std::size_t at = bytes.find(from);
         BOOST_REQUIRE(at != std::string::npos);
         bytes.replace(at, from.size(), to);
-        const auto document = dialect.readDocument(bytes);
+        const auto document = adapter.readDocument(bytes);
         return document ? std::string() : document.error().message;
     };
     const auto names = [&](const std::string &from, const std::string &to, const std::string &field) {
@@ -126,7 +126,7 @@
 // none of ours; and the servers around it must not be lost for it.
 BOOST_AUTO_TEST_CASE(an_entry_of_another_writer_names_no_server_and_the_others_hold)
 {
-    const PlatformDialect dialect;
+    const PlatformAdapter adapter;
     const auto replaced = [](const std::string &from, const std::string &to) {
         std::string entry = soundEntry;
         entry.replace(entry.find(from), from.size(), to);
@@ -155,26 +155,26 @@
     };
     for (const std::string &entry : foreign) {
         const std::string page = pageWith(soundEntry + "," + entry + "," + soundEntry);
-        const auto read = dialect.readBackends(page);
+        const auto read = adapter.readBackends(page);
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(read.value().servers.size() == 2U, entry);
-        BOOST_TEST(read.value().leftOut >= 1U, entry);
+        BOOST_TEST(read.value().skipped >= 1U, entry);
         BOOST_TEST(!read.value().reason.empty());
         BOOST_TEST(read.value().next == "p-50");
     }
-    const auto sound = dialect.readBackends(pageWith(soundEntry)).value();
-    BOOST_TEST(sound.leftOut == 0U);
-    BOOST_TEST(sound.servers.front().born == 1'765'000'000'123U);
+    const auto sound = adapter.readBackends(pageWith(soundEntry)).value();
+    BOOST_TEST(sound.skipped == 0U);
+    BOOST_TEST(sound.servers.front().incarnation == 1'765'000'000'123U);
 }
 
 // With the next page unknown the list would end early, and every server behind it would count as gone.
 BOOST_AUTO_TEST_CASE(a_page_that_does_not_tell_the_next_one_is_no_page)
 {
-    const PlatformDialect dialect;
+    const PlatformAdapter adapter;
     const std::string page = pageWith(soundEntry + ",{\"id\":}");
-    BOOST_TEST(dialect.readBackends(page).has_value());
-    BOOST_TEST(!dialect.readBackends(page.substr(0, page.find("\"next\""))).has_value());
-    BOOST_TEST(!dialect.readBackends(R"({"instances":[],"next":7})").has_value());
+    BOOST_TEST(adapter.readBackends(page).has_value());
+    BOOST_TEST(!adapter.readBackends(page.substr(0, page.find("\"next\""))).has_value());
+    BOOST_TEST(!adapter.readBackends(R"({"instances":[],"next":7})").has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/policy/cp_turn_placement.tests.cpp
+++ b/tests/policy/cp_turn_placement.tests.cpp
@@ -15,9 +15,9 @@
     return {std::move(id), "engines", {"127.0.0.1", 1}, "apapa", slots, isLeaving};
 }
 
-TurnToPlace turn(std::string id, std::string program, bool isUnderWay = false, unsigned rank = 0)
+TurnToPlace turn(std::string id, std::string program, bool isInProgress = false, unsigned rank = 0)
 {
-    return {std::move(id), std::move(program), "engines", "apapa", rank, isUnderWay, false, Milliseconds(4000)};
+    return {std::move(id), std::move(program), "engines", "apapa", rank, isInProgress, false, Milliseconds(4000)};
 }
 
 //! Engines, and where turns were placed, in order.
@@ -211,13 +211,13 @@
 BOOST_AUTO_TEST_CASE(an_engine_that_started_again_under_its_id_is_a_new_one)
 {
     BackendServer first = engine("e1");
-    first.born = 1000;
+    first.incarnation = 1000;
     BackendServer other = engine("e2");
-    other.born = 1000;
+    other.incarnation = 1000;
     Stage stage({first, other});
     stage.fill(2);
     BOOST_TEST(stage.placement.turnsAt("e1") == slots + 1);
-    first.born = 2000;
+    first.incarnation = 2000;
     stage.placement.setServers({first, other}, start);
     BOOST_TEST(stage.placement.turnsAt("e1") == 0U);
     BOOST_TEST(stage.ask(turn("t", "new")) == "e1");
--- a/tests/routing/cp_backend_list.tests.cpp
+++ b/tests/routing/cp_backend_list.tests.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-BackendServer engine(std::uint64_t born)
+BackendServer engine(std::uint64_t incarnation)
 {
     BackendServer server;
     server.id = "e1";
     server.service = "engines";
     server.slots = 4;
-    server.born = born;
+    server.incarnation = incarnation;
     return server;
 }
 
@@ -29,8 +29,8 @@
     const TimePoint now = TimePoint() + std::chrono::hours(1);
     TurnPlacement placement(7);
     std::vector<BackendServer> list;
-    const auto show = [&](std::uint64_t born) {
-        list = latestIncarnations({engine(born)}, list);
+    const auto show = [&](std::uint64_t incarnation) {
+        list = latestIncarnations({engine(incarnation)}, list);
         placement.setServers(list, now);
     };
     show(1000);
--- a/tests/storage/cp_log_store.tests.cpp
+++ b/tests/storage/cp_log_store.tests.cpp
@@ -65,7 +65,7 @@
         LogStore store = LogStore::open(files).value();
         LogBatch batch;
         for (const LogIndex index : {7U, 3U, 9U, 5U}) {
-            batch.putLooseEntry(group, index, "text " + std::to_string(index));
+            batch.putUnorderedEntry(group, index, "text " + std::to_string(index));
         }
         BOOST_REQUIRE(store.write(batch).has_value());
         const std::uint64_t live = store.liveBytes();
@@ -262,7 +262,7 @@
     constexpr LogIndex count = 40;
     LogBatch whole;
     for (LogIndex index = 1; index <= count; ++index) {
-        whole.putLooseEntry(textGroup, index, std::string(300, 'x'));
+        whole.putUnorderedEntry(textGroup, index, std::string(300, 'x'));
     }
     const std::deque<LogBatch> parts = splitBatch(std::move(whole), partBytes);
     LogIndex next = 1;
--- a/tests/support/cp_engine_fleet.hpp
+++ b/tests/support/cp_engine_fleet.hpp
@@ -298,16 +298,16 @@
         turn.id = line.name + "-" + std::to_string(line.turnsLeft);
         const std::size_t number = turns_.size();
         turns_.push_back(turn);
-        TurnToPlace wish;
-        wish.turn = turn.id;
-        wish.program = programNameOf(lineNumber);
-        wish.service = "engines";
-        wish.failureDomain = domainOf(line.program);
-        wish.rank = kind.rank;
-        wish.isUnderWay = program.hasRun;
-        wish.isLate = now_ > program.began + program.aim;
-        wish.patience = Milliseconds(3000);
-        unplaced_[number] = std::move(wish);
+        TurnToPlace unplacedTurn;
+        unplacedTurn.turn = turn.id;
+        unplacedTurn.program = programNameOf(lineNumber);
+        unplacedTurn.service = "engines";
+        unplacedTurn.failureDomain = domainOf(line.program);
+        unplacedTurn.rank = kind.rank;
+        unplacedTurn.isInProgress = program.hasRun;
+        unplacedTurn.isLate = now_ > program.began + program.aim;
+        unplacedTurn.timeLeft = Milliseconds(3000);
+        unplaced_[number] = std::move(unplacedTurn);
         place(number);
     }
     void place(std::size_t number)
@@ -327,7 +327,7 @@
         at(now_ + load_.loss->gap, [this] {
             hasLeader_ = true;
             std::vector<std::size_t> waiting;
-            for (const auto &[number, wish] : unplaced_) {
+            for (const auto &[number, unplacedTurn] : unplaced_) {
                 waiting.push_back(number);
             }
             for (const std::size_t number : waiting) {
--- a/tests/support/cp_journal_cluster.hpp
+++ b/tests/support/cp_journal_cluster.hpp
@@ -76,7 +76,7 @@
         vm.files = MemoryFiles();
         start(name);
         LogBatch batch;
-        JournalKeeper::markBlank(batch);
+        JournalKeeper::markUninitialized(batch);
         const Epoch newest = owners.empty() ? 0 : owners.rbegin()->first;
         JournalKeeper::restorePromises({planted.losesPromises ? 0 : newest}, batch);
         if (!planted.sealsBlank && !vm.store->write(batch)) {
--- a/tests/support/cp_journal_storm.hpp
+++ b/tests/support/cp_journal_storm.hpp
@@ -61,7 +61,7 @@
         } else if (network.chance(0.08)) {
             network.cuts.clear();
         } else if (wipes && network.chance(0.02)) {
-            wipeIfWhole();
+            wipeIfComplete();
         }
         for (const VmName &name : cluster_.names) {
             if (!cluster_.keepers.at(name).keeper && network.chance(0.1)) {
@@ -71,14 +71,14 @@
     }
 
     //! Only when the copy that was lost last is whole again: one lost disk at a time is what three copies stand.
-    void wipeIfWhole()
+    void wipeIfComplete()
     {
         const JournalWriter &writer = *cluster_.owners.rbegin()->second->writer;
         const bool isOpen = writer.phase() == JournalPhase::Open;
         const bool isRepaired = lastWiped_.empty() || writer.matchOf(lastWiped_) >= writer.commitIndex();
-        const auto isWhole
-            = [](const auto &item) { return item.second.keeper != nullptr && !item.second.keeper->isBlank(0); };
-        if (isOpen && isRepaired && std::all_of(cluster_.keepers.begin(), cluster_.keepers.end(), isWhole)) {
+        const auto isInitialized
+            = [](const auto &item) { return item.second.keeper != nullptr && !item.second.keeper->isUninitialized(0); };
+        if (isOpen && isRepaired && std::all_of(cluster_.keepers.begin(), cluster_.keepers.end(), isInitialized)) {
             lastWiped_ = anyKeeper();
             cluster_.wipe(lastWiped_);
         }
--- a/tests/support/cp_limit_storm.hpp
+++ b/tests/support/cp_limit_storm.hpp
@@ -15,9 +15,9 @@
 class ExactWindow
 {
 public:
-    ExactWindow(RequestLimit limit, LimitPrecision precision)
+    ExactWindow(RequestLimit limit, LimitTolerance tolerance)
         : limit_(limit)
-        , precision_(precision)
+        , tolerance_(tolerance)
     {
     }
 
@@ -29,13 +29,13 @@
     [[nodiscard]] double worstExcess()
     {
         std::sort(times_.begin(), times_.end());
-        const double seconds = std::chrono::duration<double>(precision_.window).count();
+        const double seconds = std::chrono::duration<double>(tolerance_.window).count();
         const double allowed
-            = (limit_.perSecond * seconds + limit_.burst) * (1 + precision_.overShare) + precision_.overRequests;
+            = (limit_.perSecond * seconds + limit_.burst) * (1 + tolerance_.excessShare) + tolerance_.excessRequests;
         double worst = -allowed;
         std::size_t first = 0;
         for (std::size_t last = 0; last < times_.size(); ++last) {
-            while (times_[first] + precision_.window <= times_[last]) {
+            while (times_[first] + tolerance_.window <= times_[last]) {
                 ++first;
             }
             worst = std::max(worst, static_cast<double>(last - first + 1) - allowed);
@@ -45,7 +45,7 @@
 
 private:
     RequestLimit limit_;
-    LimitPrecision precision_;
+    LimitTolerance tolerance_;
     std::vector<TimePoint> times_;
 };
 
@@ -71,14 +71,14 @@
         : random_(seed)
         , fault_(fault)
         , limit_ {pick(2, 350), pick(0, 350)}
-        , exact_(limit_, precision())
+        , exact_(limit_, tolerance())
         , load_(pick(0.3, 12))
     {
         start(leaders_[0]);
         start(leaders_[1]);
     }
 
-    [[nodiscard]] static LimitPrecision precision()
+    [[nodiscard]] static LimitTolerance tolerance()
     {
         return {Milliseconds(5000), 0.1, 20};
     }
@@ -115,7 +115,7 @@
     void start(RequestLimiter &limiter)
     {
         constexpr Milliseconds longAgo {60'000};
-        limiter = RequestLimiter(precision());
+        limiter = RequestLimiter(tolerance());
         Account account;
         account.name = "a";
         account.limit = limit_;
@@ -167,7 +167,7 @@
             return;
         }
         if (send(limiter, id) && pick(0, 1) < 0.1) {
-            const RequestLimiter::Verdict again = limiter.admit({"a", id, false}, now_);
+            const RequestLimiter::Decision again = limiter.admit({"a", id, false}, now_);
             // The entry sends a request once, however often it had to ask.
             if (again.isAdmitted && fault_ == PlantedFault::CountsNoRepeats) {
                 for (int i = 0; i < 20; ++i) {
@@ -182,12 +182,12 @@
         if (!ignoresReports && limiter.waitsForReport("a")) {
             return false;
         }
-        const RequestLimiter::Verdict verdict = limiter.admit({"a", id, false}, now_);
-        if (verdict.isAdmitted) {
+        const RequestLimiter::Decision decision = limiter.admit({"a", id, false}, now_);
+        if (decision.isAdmitted) {
             ++admitted_;
-            exact_.note(now_ + verdict.delay);
+            exact_.note(now_ + decision.delay);
         }
-        return verdict.isAdmitted;
+        return decision.isAdmitted;
     }
 
     std::mt19937_64 random_;
--- a/tests/support/cp_platform_stage.hpp
+++ b/tests/support/cp_platform_stage.hpp
@@ -2,7 +2,7 @@
 #define CARDAMOMPOST_TESTS_CP_PLATFORM_STAGE_HPP_INCLUDED
 
 #include "gateway/cp_gateway.hpp"
-#include "platform/cp_platform_dialect.hpp"
+#include "platform/cp_platform_adapter.hpp"
 #include "support/cp_conducted_files.hpp"
 #include "support/cp_free_port.hpp"
 
@@ -34,7 +34,7 @@
     //! \param disk  how its disk behaves
     explicit GatewayThread(GatewaySettings settings, ConductedFiles::Conduct disk = std::make_shared<DiskConduct>())
         : gateway_(
-            std::move(settings), std::make_unique<PlatformDialect>(), [this] { return settingsFile(); },
+            std::move(settings), std::make_unique<PlatformAdapter>(), [this] { return settingsFile(); },
             [disk](const std::string &folder) -> Result<std::unique_ptr<IFiles>> {
                 BOOST_OUTCOME_TRY(auto files, PosixFiles::openFolder(folder, true));
                 return std::unique_ptr<IFiles>(std::make_unique<ConductedFiles>(std::move(files), disk));
@@ -159,7 +159,7 @@
     //! Begins a call; its whole answer comes later, with status 0 when there was none.
     std::future<HttpResponse> begin(const Address &address, std::string method, std::string target,
                                     HttpHeaders headers = {}, std::string body = {},
-                                    Milliseconds patience = Milliseconds(5000))
+                                    Milliseconds timeout = Milliseconds(5000))
     {
         HttpCall call;
         call.address = address;
@@ -167,7 +167,7 @@
         call.target = std::move(target);
         call.headers = std::move(headers);
         call.body = std::move(body);
-        call.timeout = patience;
+        call.timeout = timeout;
         call.reuseConnection = false;
         auto run = [this, call = std::move(call)]() -> boost::asio::awaitable<HttpResponse> {
             const Result<HttpResponse> answer = co_await client_.request(call);
--- a/tests/support/cp_raft_cluster.hpp
+++ b/tests/support/cp_raft_cluster.hpp
@@ -145,7 +145,7 @@
         const TimePoint end = network.now + limit;
         while (network.now < end) {
             Member *found = leader();
-            if (found != nullptr && found->node->isSettledLeader()) {
+            if (found != nullptr && found->node->isEstablishedLeader()) {
                 return found;
             }
             run(Milliseconds(20));
--- a/tests/support/cp_raft_storm.hpp
+++ b/tests/support/cp_raft_storm.hpp
@@ -112,8 +112,9 @@
     //! are more than a quorum can stand.
     void wipe(RaftCluster::Member &member)
     {
-        const auto isWhole = [](const auto &item) { return item.second->node && !item.second->node->isBlank(); };
-        if (!std::all_of(cluster_.members.begin(), cluster_.members.end(), isWhole)) {
+        const auto isInitialized
+            = [](const auto &item) { return item.second->node && !item.second->node->isUninitialized(); };
+        if (!std::all_of(cluster_.members.begin(), cluster_.members.end(), isInitialized)) {
             return;
         }
         // What it had acknowledged to clients itself is known to the checker through the others from now on.
