--- a/src/gateway/cp_access_check.cpp
+++ b/src/gateway/cp_access_check.cpp
@@ -9,10 +9,10 @@
 {
 
 constexpr unsigned statusUnauthorized = 401;
-constexpr unsigned statusTooMany = 429;
+constexpr unsigned statusTooManyRequests = 429;
 constexpr unsigned statusUnavailable = 503;
 constexpr Milliseconds retryAfterShort {250};
-// Longest wait for the ledger's leader before a request is refused; an election of a new one fits in.
+// Longest wait for the ledger; leaves time for a leader election.
 constexpr Milliseconds admitTimeout {1750};
 
 } // namespace
@@ -20,25 +20,25 @@
 AccessCheck::AccessCheck(Parts parts)
     : parts_(parts)
     , unknownKeys_(parts.metrics.counter("cardamompost_requests_refused_total", {{"reason", "unknown-key"}}))
-    , unsure_(parts.metrics.counter("cardamompost_requests_refused_total", {{"reason", "old-document"}}))
+    , staleDocuments_(parts.metrics.counter("cardamompost_requests_refused_total", {{"reason", "old-document"}}))
     , limited_(parts.metrics.counter("cardamompost_requests_refused_total", {{"reason", "over-limit"}}))
 {
 }
 
-bool AccessCheck::isCutOff() const
+bool AccessCheck::isDocumentStale() const
 {
     return parts_.settings.failsClosed && parts_.ledger.updateAge() > parts_.settings.revocationTime;
 }
 
-LocalResponse AccessCheck::unknownKey()
+LocalResponse AccessCheck::unknownKeyResponse()
 {
     if (parts_.ledger.hasNewestDocument()) {
         unknownKeys_.add();
         return {statusUnauthorized, "no account holds this key", Milliseconds(0)};
     }
-    // Guards callers whose key was added a moment ago: a 401 is final for them, and an entry without the newest
-    // document can't know that there is no such key.
-    unsure_.add();
+    // A 401 is final for the caller, so it is sent only if this entry is known to have the newest document. Otherwise
+    // the key may have just been added.
+    staleDocuments_.add();
     return {statusUnavailable, "the key is not known, and the document may be old", retryAfterShort};
 }
 
@@ -58,11 +58,11 @@
         return std::nullopt;
     }
     if (account == nullptr) {
-        return unknownKey();
+        return unknownKeyResponse();
     }
-    if (isCutOff()) {
-        unsure_.add();
-        return LocalResponse {statusUnavailable, "it is not known whether the key still holds", retryAfterShort};
+    if (isDocumentStale()) {
+        staleDocuments_.add();
+        return LocalResponse {statusUnavailable, "can't verify that the key is still valid", retryAfterShort};
     }
     return std::nullopt;
 }
@@ -76,14 +76,14 @@
     if (account != nullptr && account->name == request.account) {
         return std::nullopt;
     }
-    // Guards against a key that was taken away, or moved to another account, while the request waited for a place.
-    return unknownKey();
+    // The key was revoked or moved to another account while the request waited.
+    return unknownKeyResponse();
 }
 
-LocalResponse AccessCheck::limited(Milliseconds retryAfter)
+LocalResponse AccessCheck::overLimitResponse(Milliseconds retryAfter)
 {
     limited_.add();
-    return {statusTooMany, "the account is over its limit", retryAfter};
+    return {statusTooManyRequests, "the account is over its limit", retryAfter};
 }
 
 asio::awaitable<std::optional<LocalResponse>> AccessCheck::admit(ForwardedRequest &request)
@@ -91,16 +91,17 @@
     if (!request.isLimited || request.isTurn()) {
         co_return std::nullopt;
     }
-    AdmitRequest ask {request.account, scopedId(request.account, request.facts.id)};
-    const std::optional<AdmitReply> reply
-        = co_await parts_.ledger.admit(std::move(ask), std::min(request.deadline, request.arrived + admitTimeout));
-    request.waited = std::chrono::duration_cast<Milliseconds>(std::chrono::steady_clock::now() - request.arrived);
+    AdmitRequest admission {request.account, scopedId(request.account, request.facts.id)};
+    const std::optional<AdmitReply> reply = co_await parts_.ledger.admit(
+        std::move(admission), std::min(request.deadline, request.arrived + admitTimeout));
+    request.admissionTime
+        = std::chrono::duration_cast<Milliseconds>(std::chrono::steady_clock::now() - request.arrived);
     if (!reply) {
-        co_return LocalResponse {statusUnavailable, "nobody can say whether the account's limit allows it",
+        co_return LocalResponse {statusUnavailable, "can't check the account's limit: the ledger does not respond",
                                  retryAfterShort};
     }
     if (reply->status == AdmitStatus::Limited) {
-        co_return limited(Milliseconds(reply->retryAfterMs));
+        co_return overLimitResponse(Milliseconds(reply->retryAfterMs));
     }
     co_return std::nullopt;
 }
--- a/src/gateway/cp_access_check.hpp
+++ b/src/gateway/cp_access_check.hpp
@@ -8,7 +8,7 @@
 namespace cardamompost
 {
 
-//! Decides which client account a request belongs to, and whether it may be sent.
+//! Authenticates requests by their keys and applies the limits of client accounts.
 class AccessCheck
 {
 public:
@@ -21,23 +21,23 @@
 
     explicit AccessCheck(Parts parts);
 
-    //! Notes the request's account. \returns the refusal; nothing when it may go on
+    //! Sets the request's account. \returns the refusal; nothing if the request may proceed
     [[nodiscard]] std::optional<LocalResponse> identify(ForwardedRequest &request);
-    //! Checks a request that has waited against a newer document. \returns the refusal; nothing when it may go on
+    //! Checks a request that has waited against a newer document. \returns the refusal; nothing if it may proceed
     [[nodiscard]] std::optional<LocalResponse> recheck(const ForwardedRequest &request, const RouteTable &newest);
-    //! Waits until the account's limit allows the request, unless its turn's begin asks for that.
-    //! \returns the refusal; nothing when it may go on
+    //! Waits for admission under the account's limit. A turn is admitted by its begin instead.
+    //! \returns the refusal; nothing if the request may proceed
     boost::asio::awaitable<std::optional<LocalResponse>> admit(ForwardedRequest &request);
-    //! The answer to a request beyond the limit.
-    [[nodiscard]] LocalResponse limited(Milliseconds retryAfter);
+    //! The response to a request over the account's limit.
+    [[nodiscard]] LocalResponse overLimitResponse(Milliseconds retryAfter);
 
 private:
-    [[nodiscard]] LocalResponse unknownKey();
-    [[nodiscard]] bool isCutOff() const;
+    [[nodiscard]] LocalResponse unknownKeyResponse();
+    [[nodiscard]] bool isDocumentStale() const;
 
     Parts parts_;
     Counter &unknownKeys_;
-    Counter &unsure_;
+    Counter &staleDocuments_;
     Counter &limited_;
 };
 
--- a/src/gateway/cp_backend_exchange.cpp
+++ b/src/gateway/cp_backend_exchange.cpp
@@ -21,18 +21,18 @@
 {
 
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::uint32_t maxAnswerHeadBytes = 64U << 10U;
-constexpr std::size_t readBytes = 16U << 10U;
-// An answer up to this length reaches the caller only when it is whole, so that another server can still be tried.
-constexpr std::size_t holdBackBytes = 256U << 10U;
-// A server answers at the deadline itself; that answer says more than one of ours.
+constexpr std::uint32_t maxResponseHeadBytes = 64U << 10U;
+constexpr std::size_t readBufferBytes = 16U << 10U;
+// Responses up to this size are buffered until they are complete, so that the request can still be retried.
+constexpr std::size_t maxBufferedResponseBytes = 256U << 10U;
+// Lets the server's own timeout response arrive, which is more specific than one from the gateway.
 constexpr Milliseconds deadlineSlack {80};
-// Longer requests are written while the answer is read already.
+// Larger requests are written while the response is being read.
 constexpr std::size_t inlineSendBytes = 12U << 10U;
-constexpr int maxForeignAnswers = 4;
+constexpr int maxUnmatchedResponses = 4;
 constexpr Milliseconds defaultKeepAlive {4000};
-constexpr std::int64_t keepAliveShareOf10 = 7;
-constexpr Milliseconds durableTimeout {2500};
+constexpr std::int64_t keepAliveTenths = 7;
+constexpr Milliseconds commitTimeout {2500};
 constexpr unsigned statusMisdirected = 421;
 constexpr unsigned statusOk = 200;
 
@@ -48,12 +48,12 @@
 
 } // namespace
 
-//! What is written to a server; lives as long as the write does.
-struct BackendExchange::Outgoing {
+//! A request as written to the server; lives until the write has ended.
+struct BackendExchange::OutgoingRequest {
     std::string head;
     std::string_view history;
     std::string_view body;
-    //! Keeps what the views above point to.
+    //! Owns the bytes that the history view refers to.
     std::shared_ptr<PendingBegin> begin;
     std::string copy;
     bool isWritten = false;
@@ -84,52 +84,51 @@
     return std::max(Milliseconds(0), std::chrono::duration_cast<Milliseconds>(request_.deadline - timeNow()));
 }
 
-ExchangeEnd BackendExchange::failed(const boost::system::error_code &error) const
+ExchangeEnd BackendExchange::endForError(const boost::system::error_code &error) const
 {
     request_.detail = error.message();
-    if (request_.caller->isGone()) {
-        return ExchangeEnd::CallerGone;
+    if (request_.caller->isDisconnected()) {
+        return ExchangeEnd::CallerDisconnected;
     }
     if (error == beast::error::timeout) {
         return ExchangeEnd::TimedOut;
     }
-    return request_.hasStarted ? ExchangeEnd::BrokeOff : ExchangeEnd::Unanswered;
+    return request_.hasResponseStarted ? ExchangeEnd::Interrupted : ExchangeEnd::NoResponse;
 }
 
 asio::awaitable<ExchangeEnd> BackendExchange::run(std::optional<Milliseconds> responseTimeout)
 {
-    begun_ = timeNow();
+    startedAt_ = timeNow();
     const TimePoint deadline = request_.deadline + deadlineSlack;
-    // Guards against a server that ran the request and whose answer is lost: it shows as silence until the caller has
-    // given up. What may be repeated goes to another server in time.
-    connection_->stream.expires_at(responseTimeout ? std::min(deadline, begun_ + *responseTimeout) : deadline);
+    // Without a response timeout, a lost response would go unnoticed until the caller gives up.
+    connection_->stream.expires_at(responseTimeout ? std::min(deadline, startedAt_ + *responseTimeout) : deadline);
     const bool isSent = co_await send();
     if (!isSent) {
-        request_.detail = "the request could not be written";
-        co_return request_.caller->isGone() ? ExchangeEnd::CallerGone : ExchangeEnd::Unanswered;
+        request_.detail = "sending the request failed";
+        co_return request_.caller->isDisconnected() ? ExchangeEnd::CallerDisconnected : ExchangeEnd::NoResponse;
     }
     const boost::system::error_code error = co_await readHead();
-    if (error == beast::error::timeout && timeNow() < request_.deadline && !request_.caller->isGone()) {
-        request_.detail = fmt::format("no answer within {} ms",
-                                      std::chrono::duration_cast<Milliseconds>(timeNow() - begun_).count());
-        co_return ExchangeEnd::Silent;
+    if (error == beast::error::timeout && timeNow() < request_.deadline && !request_.caller->isDisconnected()) {
+        request_.detail = fmt::format("no response within {} ms",
+                                      std::chrono::duration_cast<Milliseconds>(timeNow() - startedAt_).count());
+        co_return ExchangeEnd::ResponseOverdue;
     }
     if (error) {
-        co_return failed(error);
+        co_return endForError(error);
     }
-    answerTime_ = std::chrono::duration_cast<Milliseconds>(timeNow() - begun_);
+    responseTime_ = std::chrono::duration_cast<Milliseconds>(timeNow() - startedAt_);
     connection_->stream.expires_at(deadline);
-    takeReport();
+    recordStatusAndLoad();
     if (isNotExecuted()) {
-        std::string rest;
+        std::string remainder;
         boost::system::error_code drained;
         while (!drained && !parser_->is_done()) {
-            drained = co_await readSome(rest);
+            drained = co_await readSome(remainder);
         }
         if (!drained) {
-            keepConnection();
+            releaseConnection();
         }
-        co_return ExchangeEnd::NotRun;
+        co_return ExchangeEnd::NotExecuted;
     }
     const bool isStream = request_.route->kind == RouteKind::Streaming && parser_->get().result_int() == statusOk;
     if (isStream) {
@@ -138,12 +137,12 @@
     co_return co_await relayComplete();
 }
 
-std::optional<Milliseconds> BackendExchange::silence() const
+std::optional<Milliseconds> BackendExchange::timeWithoutResponse() const
 {
-    if (answerTime_) {
+    if (responseTime_) {
         return std::nullopt;
     }
-    return std::chrono::duration_cast<Milliseconds>(timeNow() - begun_);
+    return std::chrono::duration_cast<Milliseconds>(timeNow() - startedAt_);
 }
 
 asio::awaitable<bool> BackendExchange::send()
@@ -157,10 +156,10 @@
         facts.priority = turnPriority({request_.route->rank, request_.facts.programTimeLeft});
     }
     const std::string lastId = request_.tally.lastId();
-    if (request_.hasStarted) {
+    if (request_.hasResponseStarted) {
         facts.lastEventId = lastId;
     }
-    outgoing_ = std::make_shared<Outgoing>();
+    outgoing_ = std::make_shared<OutgoingRequest>();
     outgoing_->begin = request_.begin;
     if (request_.begin) {
         outgoing_->history = request_.begin->history();
@@ -173,11 +172,11 @@
         outgoing_->isWritten = !error;
         co_return !error;
     }
-    // Guards against a server that answers before it has read a long body: with nobody reading, both would wait. The
-    // body is copied, since the answer may be over before the write is.
+    // Avoids a deadlock with a server that responds before it has read a long body. The body is copied because the
+    // write may outlive the request.
     outgoing_->copy = outgoing_->body;
     outgoing_->body = outgoing_->copy;
-    auto write = [](std::shared_ptr<Outgoing> outgoing,
+    auto write = [](std::shared_ptr<OutgoingRequest> outgoing,
                     std::shared_ptr<BackendConnection> connection) -> asio::awaitable<void> {
         const auto [error, written] = co_await asio::async_write(connection->stream, outgoing->buffers(), asTuple);
         outgoing->isWritten = !error;
@@ -188,9 +187,9 @@
 
 asio::awaitable<boost::system::error_code> BackendExchange::readHead()
 {
-    for (int foreign = 0; foreign <= maxForeignAnswers; ++foreign) {
+    for (int unmatched = 0; unmatched <= maxUnmatchedResponses; ++unmatched) {
         parser_.emplace();
-        parser_->header_limit(maxAnswerHeadBytes);
+        parser_->header_limit(maxResponseHeadBytes);
         parser_->body_limit(boost::none);
         parser_->eager(true);
         parser_->skip(request_.message.method() == http::verb::head);
@@ -200,34 +199,34 @@
             co_return error;
         }
         const auto id = parser_->get().find(parts_.names.requestId);
-        const bool isOwn = id == parser_->get().end() || view(id->value()) == request_.facts.id;
-        if (isOwn) {
+        const bool isMatching = id == parser_->get().end() || view(id->value()) == request_.facts.id;
+        if (isMatching) {
             co_return boost::system::error_code {};
         }
-        // Guards against mixing answers: a late second answer to an earlier request stands where this one is expected.
-        hadForeign_ = true;
-        const bool isOver = co_await discardForeign();
-        if (!isOver) {
+        // A late duplicate response to an earlier request on this connection must not reach this caller.
+        hadUnmatchedResponse_ = true;
+        const bool isDiscarded = co_await discardUnmatchedResponse();
+        if (!isDiscarded) {
             break;
         }
     }
     co_return http::error::bad_value;
 }
 
-asio::awaitable<bool> BackendExchange::discardForeign()
+asio::awaitable<bool> BackendExchange::discardUnmatchedResponse()
 {
-    std::string rest;
+    std::string remainder;
     boost::system::error_code error;
     while (!error && !parser_->is_done()) {
-        error = co_await readSome(rest);
-        rest.clear();
+        error = co_await readSome(remainder);
+        remainder.clear();
     }
     co_return !error;
 }
 
 asio::awaitable<boost::system::error_code> BackendExchange::readSome(std::string &bytes)
 {
-    std::array<char, readBytes> space;
+    std::array<char, readBufferBytes> space;
     auto &body = parser_->get().body();
     body.data = space.data();
     body.size = space.size();
@@ -242,11 +241,11 @@
 
 bool BackendExchange::isNotExecuted() const
 {
-    const auto &answer = parser_->get();
-    return answer.result_int() == statusMisdirected || answer.find(parts_.names.notExecuted) != answer.end();
+    const auto &response = parser_->get();
+    return response.result_int() == statusMisdirected || response.find(parts_.names.notExecuted) != response.end();
 }
 
-void BackendExchange::takeReport()
+void BackendExchange::recordStatusAndLoad()
 {
     request_.status = parser_->get().result_int();
     const auto found = parser_->get().find(parts_.names.serverLoad);
@@ -258,24 +257,24 @@
     }
 }
 
-void BackendExchange::keepConnection()
+void BackendExchange::releaseConnection()
 {
-    // Guards against bytes that belong to no request: a connection with more than the one answer is not used again.
+    // A connection with unread or unmatched bytes is not reused.
     const bool isClean = parser_->is_done() && parser_->get().keep_alive() && connection_->buffer.size() == 0
-        && !hadForeign_ && outgoing_->isWritten;
+        && !hadUnmatchedResponse_ && outgoing_->isWritten;
     if (!isClean) {
         return;
     }
-    Milliseconds keptFor = defaultKeepAlive;
+    Milliseconds idleTimeout = defaultKeepAlive;
     const auto keepAlive = parser_->get().find(http::field::keep_alive);
     if (keepAlive != parser_->get().end()) {
         if (const std::optional<Milliseconds> stated = readKeepAlive(view(keepAlive->value()))) {
-            keptFor = *stated * keepAliveShareOf10 / 10;
+            idleTimeout = *stated * keepAliveTenths / 10;
         }
     }
     const TimePoint now = timeNow();
-    connection_->keptUntil = now + keptFor;
-    parts_.pool.keep(*backend_, connection_, now);
+    connection_->reusableUntil = now + idleTimeout;
+    parts_.pool.release(*backend_, connection_, now);
 }
 
 asio::awaitable<ExchangeEnd> BackendExchange::relayComplete()
@@ -290,26 +289,26 @@
     while (!parser_->is_done()) {
         const boost::system::error_code error = co_await readSome(body);
         if (error) {
-            co_return failed(error);
+            co_return endForError(error);
         }
-        if (body.size() <= holdBackBytes && !request_.hasStarted) {
+        if (body.size() <= maxBufferedResponseBytes && !request_.hasResponseStarted) {
             continue;
         }
         std::string bytes;
-        if (!request_.hasStarted) {
+        if (!request_.hasResponseStarted) {
             bytes = makeCallerHead(parser_->get().base(), parts_.names, framing);
-            request_.hasStarted = true;
+            request_.hasResponseStarted = true;
         }
         bytes += framing.length ? body : fmt::format("{:x}\r\n{}\r\n", body.size(), body);
         body.clear();
         const bool isWritten = co_await caller.write(std::move(bytes));
         if (!isWritten) {
-            co_return ExchangeEnd::CallerGone;
+            co_return ExchangeEnd::CallerDisconnected;
         }
     }
-    keepConnection();
+    releaseConnection();
     std::string bytes;
-    if (!request_.hasStarted) {
+    if (!request_.hasResponseStarted) {
         const bool isHead = request_.message.method() == http::verb::head;
         framing.length = isHead ? length.value_or(0) : body.size();
         framing.keepsOpen = caller.keepsOpen();
@@ -317,62 +316,64 @@
     } else if (!framing.length) {
         bytes = "0\r\n\r\n";
     }
-    request_.hasStarted = true;
+    request_.hasResponseStarted = true;
     if (!bytes.empty()) {
         const bool isWritten = co_await caller.write(std::move(bytes));
         if (!isWritten) {
-            co_return ExchangeEnd::CallerGone;
+            co_return ExchangeEnd::CallerDisconnected;
         }
     }
-    co_return ExchangeEnd::Answered;
+    co_return ExchangeEnd::Completed;
 }
 
 asio::awaitable<ExchangeEnd> BackendExchange::relayStream()
 {
     if (request_.begin) {
-        // Nothing is handed out before what it may cost is durable; otherwise a lost ledger leader would forget it.
+        // Nothing is relayed before the turn's reservation is durable; otherwise a new ledger leader would not know of
+        // it.
         co_await request_.begin->untilFinal();
         if (!request_.begin->isGranted()) {
             co_return ExchangeEnd::NotGranted;
         }
     }
-    if (!request_.hasStarted) {
-        head_ = makeCallerHead(parser_->get().base(), parts_.names, {std::nullopt, request_.caller->keepsOpen()});
+    if (!request_.hasResponseStarted) {
+        responseHead_
+            = makeCallerHead(parser_->get().base(), parts_.names, {std::nullopt, request_.caller->keepsOpen()});
     }
     while (!parser_->is_done()) {
         std::string bytes;
         const boost::system::error_code error = co_await readSome(bytes);
         if (!bytes.empty()) {
-            const bool isWritten = co_await passOn(std::move(bytes));
+            const bool isWritten = co_await relayChunk(std::move(bytes));
             if (!isWritten) {
-                co_return ExchangeEnd::CallerGone;
+                co_return ExchangeEnd::CallerDisconnected;
             }
         }
         if (error) {
             request_.tally.dropPartial();
             request_.partialEvent.clear();
-            co_return failed(error);
+            co_return endForError(error);
         }
     }
     co_return co_await endStream();
 }
 
-asio::awaitable<bool> BackendExchange::passOn(std::string bytes)
+asio::awaitable<bool> BackendExchange::relayChunk(std::string bytes)
 {
-    const std::size_t whole = request_.tally.feed(bytes);
+    const std::size_t completeBytes = request_.tally.feed(bytes);
     if (request_.route->isResumable) {
-        // A stream that may go on elsewhere is passed on event by event, so that none comes in two halves.
-        const std::size_t rest = bytes.size() - whole;
+        // A resumable stream is relayed in whole events, so that another server can continue between two of them.
+        const std::size_t remainder = bytes.size() - completeBytes;
         request_.partialEvent += bytes;
-        const std::size_t ready = whole == 0 ? 0 : request_.partialEvent.size() - rest;
-        bytes = request_.partialEvent.substr(0, ready);
-        request_.partialEvent.erase(0, ready);
+        const std::size_t relayableBytes = completeBytes == 0 ? 0 : request_.partialEvent.size() - remainder;
+        bytes = request_.partialEvent.substr(0, relayableBytes);
+        request_.partialEvent.erase(0, relayableBytes);
     }
     if (bytes.empty()) {
         co_return true;
     }
-    std::string out = std::exchange(head_, {});
-    request_.hasStarted = true;
+    std::string out = std::exchange(responseHead_, {});
+    request_.hasResponseStarted = true;
     out += fmt::format("{:x}\r\n", bytes.size());
     out += bytes;
     out += "\r\n";
@@ -381,21 +382,21 @@
 
 asio::awaitable<ExchangeEnd> BackendExchange::endStream()
 {
-    keepConnection();
+    releaseConnection();
     if (request_.begin && request_.route->keepsHistory) {
-        // A turn counts from the end of its answer on; so its end leaves only once a quorum has the turn.
+        // The end of the stream confirms the turn to the caller, so it is sent only after a quorum has stored the turn.
         const bool isDurable
-            = co_await parts_.ledger.finish(request_.finish(TurnEnding::Complete), timeNow() + durableTimeout);
+            = co_await parts_.ledger.finish(request_.finish(TurnEnding::Complete), timeNow() + commitTimeout);
         if (!isDurable) {
             co_return ExchangeEnd::NotDurable;
         }
     }
-    request_.isComplete = true;
-    std::string out = std::exchange(head_, {});
-    request_.hasStarted = true;
+    request_.isResponseComplete = true;
+    std::string out = std::exchange(responseHead_, {});
+    request_.hasResponseStarted = true;
     out += "0\r\n\r\n";
     const bool isWritten = co_await request_.caller->write(std::move(out));
-    co_return isWritten ? ExchangeEnd::Answered : ExchangeEnd::CallerGone;
+    co_return isWritten ? ExchangeEnd::Completed : ExchangeEnd::CallerDisconnected;
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_backend_exchange.hpp
+++ b/src/gateway/cp_backend_exchange.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! One request on one connection to a backend server, and its answer to the caller.
+//! Sends one request over one connection to a backend server and relays the response to the caller.
 class BackendExchange
 {
 public:
@@ -23,33 +23,33 @@
     BackendExchange(Parts parts, ForwardedRequest &request, std::shared_ptr<BackendState> backend,
                     std::shared_ptr<BackendConnection> connection);
 
-    //! \param responseTimeout  how long to wait for the head of an answer; nothing to wait until the request's deadline
+    //! \param responseTimeout  time to wait for the head of the response; nothing to wait until the request's deadline
     boost::asio::awaitable<ExchangeEnd> run(std::optional<Milliseconds> responseTimeout);
-    //! From the sending to the head of the answer; nothing when there was none.
-    [[nodiscard]] std::optional<Milliseconds> answerTime() const
+    //! Time from sending the request to the head of the response; nothing if there was no response.
+    [[nodiscard]] std::optional<Milliseconds> responseTime() const
     {
-        return answerTime_;
+        return responseTime_;
     }
 
-    //! How long nothing at all came of an answer; nothing once it has begun.
-    [[nodiscard]] std::optional<Milliseconds> silence() const;
+    //! Time since sending began; nothing once the head of a response has arrived.
+    [[nodiscard]] std::optional<Milliseconds> timeWithoutResponse() const;
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
-    struct Outgoing;
+    struct OutgoingRequest;
 
     boost::asio::awaitable<bool> send();
     boost::asio::awaitable<boost::system::error_code> readHead();
-    boost::asio::awaitable<bool> discardForeign();
+    boost::asio::awaitable<bool> discardUnmatchedResponse();
     boost::asio::awaitable<boost::system::error_code> readSome(std::string &bytes);
     boost::asio::awaitable<ExchangeEnd> relayComplete();
     boost::asio::awaitable<ExchangeEnd> relayStream();
-    boost::asio::awaitable<bool> passOn(std::string bytes);
+    boost::asio::awaitable<bool> relayChunk(std::string bytes);
     boost::asio::awaitable<ExchangeEnd> endStream();
     [[nodiscard]] bool isNotExecuted() const;
-    void takeReport();
-    void keepConnection();
-    [[nodiscard]] ExchangeEnd failed(const boost::system::error_code &error) const;
+    void recordStatusAndLoad();
+    void releaseConnection();
+    [[nodiscard]] ExchangeEnd endForError(const boost::system::error_code &error) const;
     [[nodiscard]] Milliseconds timeLeft() const;
 
     Parts parts_;
@@ -58,11 +58,11 @@
     std::shared_ptr<BackendConnection> connection_;
     InFlightGuard guard_;
     std::optional<Parser> parser_;
-    std::shared_ptr<Outgoing> outgoing_;
-    std::string head_;
-    bool hadForeign_ = false;
-    std::optional<Milliseconds> answerTime_;
-    TimePoint begun_ {};
+    std::shared_ptr<OutgoingRequest> outgoing_;
+    std::string responseHead_;
+    bool hadUnmatchedResponse_ = false;
+    std::optional<Milliseconds> responseTime_;
+    TimePoint startedAt_ {};
 };
 
 } // namespace cardamompost
--- a/src/gateway/cp_backend_pool.cpp
+++ b/src/gateway/cp_backend_pool.cpp
@@ -20,50 +20,50 @@
 {
 
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-// A report of a server's load is worth half after this.
+// Half-life of a load report.
 constexpr double reportHalfLifeMs = 300;
-// What a server in another failure domain costs more, in shares of its slots.
-constexpr double otherDomainCost = 0.2;
+// Cost of a server in another failure domain, as a share of its slots.
+constexpr double otherDomainPenalty = 0.2;
 constexpr std::size_t sampledServers = 3;
-// An entry keeps to so many servers of a service while they have places. Few servers mean connections that are in use
-// again before their servers drop them.
+// Servers of a service that an entry prefers until they are busy. Fewer servers keep pooled connections in more
+// frequent use, so that servers do not close them as idle.
 constexpr std::size_t preferredServers = 6;
-// The share of its slots from which on a preferred server counts as busy.
+// Share of its slots above which a preferred server is busy.
 constexpr double preferredLoadLimit = 0.35;
-constexpr std::size_t maxKeptPerServer = 16;
-// Closed by us well before a server does: a request that crosses the server's close may or may not have run.
-constexpr Milliseconds keepAtMost {20'000};
+constexpr std::size_t maxIdlePerServer = 16;
+// Shorter than the servers' own idle timeouts: a request that races with the server's close has an unknown outcome.
+constexpr Milliseconds maxIdleTime {20'000};
 constexpr int userTimeoutMs = 2500;
-// Kept connections that go silent for good are closed by the kernel within some three seconds of idleness.
-constexpr int probeAfterSeconds = 1;
-constexpr int probeIntervalSeconds = 1;
-constexpr int probes = 2;
+// The kernel closes an idle connection whose peer is unreachable after about three seconds.
+constexpr int keepaliveIdleSeconds = 1;
+constexpr int keepaliveIntervalSeconds = 1;
+constexpr int keepaliveProbes = 2;
 
 void setOption(boost::beast::tcp_stream &stream, int level, int name, int value)
 {
     ::setsockopt(stream.socket().native_handle(), level, name, &value, sizeof(value));
 }
 
-//! Guards against a connection that something between has forgotten: a request written to it would be lost, and what
-//! may run once could not be sent again.
-void watchForSilence(boost::beast::tcp_stream &stream)
+//! Detects connections that the peer or a middlebox has dropped silently. A request written to one would be lost, and
+//! one that is not repeatable could not be retried.
+void enableKeepalive(boost::beast::tcp_stream &stream)
 {
     setOption(stream, IPPROTO_TCP, TCP_USER_TIMEOUT, userTimeoutMs);
     setOption(stream, SOL_SOCKET, SO_KEEPALIVE, 1);
-    setOption(stream, IPPROTO_TCP, TCP_KEEPIDLE, probeAfterSeconds);
-    setOption(stream, IPPROTO_TCP, TCP_KEEPINTVL, probeIntervalSeconds);
-    setOption(stream, IPPROTO_TCP, TCP_KEEPCNT, probes);
+    setOption(stream, IPPROTO_TCP, TCP_KEEPIDLE, keepaliveIdleSeconds);
+    setOption(stream, IPPROTO_TCP, TCP_KEEPINTVL, keepaliveIntervalSeconds);
+    setOption(stream, IPPROTO_TCP, TCP_KEEPCNT, keepaliveProbes);
 }
 
-// Requests that a server loses one after the other before it is left out.
-constexpr unsigned lostUntilLeftOut = 2;
-constexpr Milliseconds leaveOutFor {1000};
-// The share of a service's servers that may be left out for lost requests at once.
-constexpr double maxAvoidedShare = 0.34;
+// Consecutive failures after which a server is ejected.
+constexpr unsigned failuresUntilEjection = 2;
+constexpr Milliseconds ejectionTime {1000};
+// Share of a service's servers that may be ejected for failures at the same time.
+constexpr double maxEjectedShare = 0.34;
 
-bool looksAlive(BackendConnection &connection)
+bool isReusable(BackendConnection &connection)
 {
-    // A kept connection has nothing to read; an end or a byte there belongs to nobody's request.
+    // An idle connection has nothing to read; end of stream or stray bytes make it unusable.
     char byte = 0;
     const auto got = ::recv(connection.stream.socket().native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -74,12 +74,12 @@
 double BackendState::load(TimePoint now) const
 {
     const double ageMs = std::chrono::duration<double, std::milli>(now - reportedAt_).count();
-    return inFlight_ + othersAtReport_ * std::exp2(-ageMs / reportHalfLifeMs);
+    return inFlight_ + reportedByOthers_ * std::exp2(-ageMs / reportHalfLifeMs);
 }
 
 void BackendState::report(unsigned running, unsigned waiting, TimePoint now)
 {
-    othersAtReport_ = std::max(0.0, static_cast<double>(running) + waiting - inFlight_);
+    reportedByOthers_ = std::max(0.0, static_cast<double>(running) + waiting - inFlight_);
     reportedAt_ = now;
 }
 
@@ -88,7 +88,7 @@
     , failureDomain_(std::move(failureDomain))
     , random_(randomIdentity())
     , connects_(metrics.counter("cardamompost_backend_connects_total"))
-    , reused_(metrics.counter("cardamompost_backend_reused_total"))
+    , reusedConnections_(metrics.counter("cardamompost_backend_reused_total"))
 {
 }
 
@@ -109,12 +109,11 @@
     version_ = list.version;
     std::map<std::string, std::shared_ptr<BackendState>> byId;
     byService_.clear();
-    // Also here, and not at the list's reader only: a new leader has no list before its first one.
+    // Filtered here as well as by the list's reader, because a new leader has no earlier list to compare with.
     for (const BackendServer &server : latestIncarnations(list.servers, servers())) {
         const auto known = byId_.find(server.id);
         const bool isKnown = known != byId_.end() && known->second->server_.incarnation == server.incarnation;
-        // Guards against what was known of the incarnation before: its connections are dead, its load is gone, and
-        // what it lost says nothing of the one that runs now.
+        // A new incarnation starts with fresh state: connections, load and failures of the previous one do not apply.
         auto state = isKnown ? known->second : std::make_shared<BackendState>(server);
         state->server_ = server;
         if (server.isLeaving) {
@@ -140,8 +139,8 @@
 
 void BackendPool::sortByPreference(std::vector<std::shared_ptr<BackendState>> &servers) const
 {
-    // Those of the own failure domain first, and then in an order of the entry's own, so that the entries' choices
-    // overlap evenly and a server that comes or goes changes few of them.
+    // Servers in the own failure domain come first, then by a hash seeded with the entry's name. The preferences of
+    // entries overlap evenly, and a server that joins or leaves changes few of them.
     const auto order = [&](const std::shared_ptr<BackendState> &backend) {
         return std::pair(backend->server_.failureDomain != failureDomain_,
                          stableHash(vm_, stableHash(backend->server_.id)));
@@ -153,11 +152,11 @@
 std::shared_ptr<BackendState> BackendPool::find(const std::string &id, TimePoint now) const
 {
     const auto found = byId_.find(id);
-    const bool isUsable = found != byId_.end() && !found->second->server_.isLeaving && !found->second->isAvoided(now);
+    const bool isUsable = found != byId_.end() && !found->second->server_.isLeaving && !found->second->isEjected(now);
     return isUsable ? found->second : nullptr;
 }
 
-std::vector<std::string> BackendPool::avoided(std::string_view service, TimePoint now) const
+std::vector<std::string> BackendPool::ejected(std::string_view service, TimePoint now) const
 {
     std::vector<std::string> ids;
     const auto found = byService_.find(std::string(service));
@@ -165,7 +164,7 @@
         return ids;
     }
     for (const auto &backend : found->second) {
-        if (backend->isAvoided(now)) {
+        if (backend->isEjected(now)) {
             ids.push_back(backend->server_.id);
         }
     }
@@ -179,15 +178,15 @@
         return nullptr;
     }
     std::vector<std::shared_ptr<BackendState>> usable;
-    std::vector<std::shared_ptr<BackendState>> avoided;
+    std::vector<std::shared_ptr<BackendState>> ejected;
     for (const auto &backend : found->second) {
         if (!request.tried.contains(backend->server_.id)) {
-            (backend->isAvoided(now) ? avoided : usable).push_back(backend);
+            (backend->isEjected(now) ? ejected : usable).push_back(backend);
         }
     }
-    // With all servers in doubt, one of them is still better than none.
+    // If every server is ejected, an ejected one is still better than none.
     if (usable.empty()) {
-        usable.swap(avoided);
+        usable.swap(ejected);
     }
     if (usable.empty()) {
         return nullptr;
@@ -198,8 +197,8 @@
 std::shared_ptr<BackendState> BackendPool::pickSticky(const std::vector<std::shared_ptr<BackendState>> &usable,
                                                       const PickRequest &request, TimePoint now) const
 {
-    // Rendezvous hashing: every entry finds the same order of servers for a point without telling any other, and a
-    // server that comes or goes moves only its own share of the points.
+    // Rendezvous hashing: all entries order the servers of a point alike, and a server that joins or leaves moves only
+    // its own share of the points.
     std::vector<std::pair<std::uint64_t, std::shared_ptr<BackendState>>> order;
     for (const auto &backend : usable) {
         order.emplace_back(stableHash(backend->server_.id, request.stickyPoint), backend);
@@ -232,10 +231,9 @@
     if (auto preferred = pickPreferred(usable, now)) {
         return preferred;
     }
-    // Guards against a herd: all entries see the same server as the idlest for as long as its report is old, so each
-    // compares a few that it draws by lot.
+    // Compares a few random servers. Otherwise all entries would pick the same least loaded one until its next report.
     const auto cost = [&](const BackendState &backend) {
-        const double domain = backend.server().failureDomain == failureDomain_ ? 0 : otherDomainCost;
+        const double domain = backend.server().failureDomain == failureDomain_ ? 0 : otherDomainPenalty;
         return backend.load(now) / backend.server().slots + domain;
     };
     std::shared_ptr<BackendState> best;
@@ -248,13 +246,13 @@
     return best;
 }
 
-std::shared_ptr<BackendConnection> BackendPool::takeKept(BackendState &backend, TimePoint now)
+std::shared_ptr<BackendConnection> BackendPool::takeIdle(BackendState &backend, TimePoint now)
 {
     while (!backend.idle_.empty()) {
         std::shared_ptr<BackendConnection> connection = std::move(backend.idle_.back());
         backend.idle_.pop_back();
-        if (now < connection->keptUntil && looksAlive(*connection)) {
-            reused_.add();
+        if (now < connection->reusableUntil && isReusable(*connection)) {
+            reusedConnections_.add();
             return connection;
         }
     }
@@ -272,7 +270,7 @@
     boost::system::error_code invalid;
     const auto host = asio::ip::make_address(address.host, invalid);
     if (invalid) {
-        co_return makeError(ErrorKind::BackendFailed, "the list has no IP number for the server");
+        co_return makeError(ErrorKind::BackendFailed, "the server's address in the list is not an IP address");
     }
     const asio::ip::tcp::endpoint endpoint(host, address.port);
     const auto [error] = co_await stream.async_connect(endpoint, asTuple);
@@ -281,46 +279,46 @@
     }
     boost::system::error_code ignored;
     stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
-    watchForSilence(stream);
+    enableKeepalive(stream);
     stream.expires_never();
     co_return std::make_shared<BackendConnection>(std::move(stream));
 }
 
-void BackendPool::keep(BackendState &backend, std::shared_ptr<BackendConnection> connection, TimePoint now)
+void BackendPool::release(BackendState &backend, std::shared_ptr<BackendConnection> connection, TimePoint now)
 {
-    if (backend.server_.isLeaving || backend.idle_.size() >= maxKeptPerServer) {
+    if (backend.server_.isLeaving || backend.idle_.size() >= maxIdlePerServer) {
         return;
     }
-    connection->keptUntil = std::min(connection->keptUntil, now + keepAtMost);
+    connection->reusableUntil = std::min(connection->reusableUntil, now + maxIdleTime);
     connection->stream.expires_never();
     backend.idle_.push_back(std::move(connection));
 }
 
-bool BackendPool::noteLost(BackendState &backend, TimePoint now)
+bool BackendPool::recordFailure(BackendState &backend, TimePoint now)
 {
-    // Guards against a server that went down or dropped its idle connections without a word: each kept connection to it
-    // would take a request and lose it, one after the other; and one that fails at once looks idle and draws more.
+    // After a crash or a silent close, every idle connection would lose one request. A failing server also looks idle,
+    // and so attracts more requests.
     backend.idle_.clear();
-    ++backend.lostInARow_;
+    ++backend.consecutiveFailures_;
     const auto service = byService_.find(backend.server_.service);
-    if (backend.lostInARow_ < lostUntilLeftOut || service == byService_.end()) {
+    if (backend.consecutiveFailures_ < failuresUntilEjection || service == byService_.end()) {
         return false;
     }
-    const auto avoidedBackends = std::count_if(service->second.begin(), service->second.end(),
-                                               [&](const auto &other) { return other->isAvoided(now); });
-    // Guards against overload of the rest: servers that lose a few answers each still do most of the work.
-    const auto most = static_cast<double>(service->second.size()) * maxAvoidedShare;
-    if (static_cast<double>(avoidedBackends) >= most) {
+    const auto ejectedBackends = std::count_if(service->second.begin(), service->second.end(),
+                                               [&](const auto &other) { return other->isEjected(now); });
+    // Limits ejection so that the remaining servers are not overloaded.
+    const auto maxEjected = static_cast<double>(service->second.size()) * maxEjectedShare;
+    if (static_cast<double>(ejectedBackends) >= maxEjected) {
         return false;
     }
-    backend.avoid(now + leaveOutFor);
+    backend.ejectUntil(now + ejectionTime);
     return true;
 }
 
 void BackendPool::closeIdle(TimePoint now)
 {
     for (const auto &[id, backend] : byId_) {
-        std::erase_if(backend->idle_, [&](const auto &connection) { return now >= connection->keptUntil; });
+        std::erase_if(backend->idle_, [&](const auto &connection) { return now >= connection->reusableUntil; });
     }
 }
 
--- a/src/gateway/cp_backend_pool.hpp
+++ b/src/gateway/cp_backend_pool.hpp
@@ -20,20 +20,20 @@
 namespace cardamompost
 {
 
-//! A connection to a backend server, for one request at a time.
+//! A connection to a backend server, used by one request at a time.
 struct BackendConnection {
-    explicit BackendConnection(boost::beast::tcp_stream opened)
-        : stream(std::move(opened))
+    explicit BackendConnection(boost::beast::tcp_stream connected)
+        : stream(std::move(connected))
     {
     }
 
     boost::beast::tcp_stream stream;
     boost::beast::flat_buffer buffer;
-    //! When the server may close it.
-    TimePoint keptUntil {};
+    //! End of the time in which the connection may be reused.
+    TimePoint reusableUntil {};
 };
 
-//! A backend server as one entry sees it. Requests under way hold it while the list changes.
+//! A backend server as seen by one entry. Requests in flight share ownership, so it outlives its removal from the list.
 class BackendState
 {
 public:
@@ -46,23 +46,24 @@
     {
         return server_;
     }
-    //! Requests here that others and this entry are estimated to have, by the last report and own work since.
+    //! Estimated requests at the server: this entry's own in flight, and a decaying share of those last reported of
+    //! others.
     [[nodiscard]] double load(TimePoint now) const;
-    //! Takes a report of "running, waiting, slots".
+    //! Records the load that the server reported.
     void report(unsigned running, unsigned waiting, TimePoint now);
-    //! Not to be chosen for a while, because a connection to it has failed.
-    void avoid(TimePoint until)
+    //! Ejects the server until the given time.
+    void ejectUntil(TimePoint until)
     {
-        avoidUntil_ = until;
+        ejectedUntil_ = until;
     }
-    //! It answered a request.
-    void noteAnswer()
+    //! Resets the count of consecutive failures.
+    void recordSuccess()
     {
-        lostInARow_ = 0;
+        consecutiveFailures_ = 0;
     }
-    [[nodiscard]] bool isAvoided(TimePoint now) const
+    [[nodiscard]] bool isEjected(TimePoint now) const
     {
-        return now < avoidUntil_;
+        return now < ejectedUntil_;
     }
 
 private:
@@ -71,14 +72,14 @@
 
     BackendServer server_;
     unsigned inFlight_ = 0;
-    double othersAtReport_ = 0;
+    double reportedByOthers_ = 0;
     TimePoint reportedAt_ {};
-    TimePoint avoidUntil_ {};
-    unsigned lostInARow_ = 0;
+    TimePoint ejectedUntil_ {};
+    unsigned consecutiveFailures_ = 0;
     std::vector<std::shared_ptr<BackendConnection>> idle_;
 };
 
-//! Counts a request while it is under way at a backend server.
+//! Counts a request as in flight for the guard's lifetime.
 class InFlightGuard
 {
 public:
@@ -98,64 +99,64 @@
     std::shared_ptr<BackendState> backend_;
 };
 
-//! What decides where a request goes.
+//! Input to the choice of a server.
 struct PickRequest {
     std::string_view service;
-    //! Requests with the same point prefer the same server, whichever entry takes them; 0 for no preference.
+    //! Requests with the same value prefer the same server on every entry; 0 for no preference.
     std::uint64_t stickyPoint = 0;
-    //! Ids of servers that had this request already.
+    //! Ids of servers already tried for this request.
     std::set<std::string> tried {};
-    //! From this share of its slots on, requests leave the server that they prefer.
+    //! Share of its slots above which a server loses its sticky requests.
     double stickyLoadLimit = 0.8;
 };
 
-//! The backend servers that an entry may send to, and its connections to them. Thread-safety: none.
+//! The backend servers known to an entry, with their idle connections and ejection state. Thread-safety: none.
 class BackendPool
 {
 public:
-    //! \param vm  the entry's name; each entry prefers other servers
+    //! \param vm  the entry's name, which seeds its order of preference
     BackendPool(std::string vm, std::string failureDomain, MetricRegistry &metrics);
 
-    //! Takes a list unless a newer one is known. Servers that are leaving or gone get nothing new.
-    //! \returns true when it was newer
+    //! Applies a list unless a newer one is known. Servers that are leaving or gone get no new requests.
+    //! \returns true if the list was applied
     bool setList(const BackendList &list);
     [[nodiscard]] const BackendListVersion &version() const
     {
         return version_;
     }
-    //! The server with an id, if it may take requests now; null otherwise.
+    //! The server with this id; null if it is unknown, leaving or ejected.
     [[nodiscard]] std::shared_ptr<BackendState> find(const std::string &id, TimePoint now) const;
-    //! Ids of a service's servers that are avoided now.
-    [[nodiscard]] std::vector<std::string> avoided(std::string_view service, TimePoint now) const;
+    //! Ids of a service's ejected servers.
+    [[nodiscard]] std::vector<std::string> ejected(std::string_view service, TimePoint now) const;
     [[nodiscard]] const std::string &failureDomain() const
     {
         return failureDomain_;
     }
-    //! Null when no server can take the request.
+    //! Chooses a server; ejected ones only if there is no other. Null if all were tried or the service has none.
     [[nodiscard]] std::shared_ptr<BackendState> pick(const PickRequest &request, TimePoint now);
 
-    //! A kept connection that still looks alive; null when there is none.
-    [[nodiscard]] std::shared_ptr<BackendConnection> takeKept(BackendState &backend, TimePoint now);
-    //! A new connection. Errors: BackendFailed, and nothing was sent.
+    //! Takes an idle connection that is still open; null if there is none.
+    [[nodiscard]] std::shared_ptr<BackendConnection> takeIdle(BackendState &backend, TimePoint now);
+    //! Opens a connection. Errors: BackendFailed; nothing was sent.
     boost::asio::awaitable<Result<std::shared_ptr<BackendConnection>>> connect(std::shared_ptr<BackendState> backend,
                                                                                Milliseconds timeout);
-    //! Keeps a connection for the next request.
-    void keep(BackendState &backend, std::shared_ptr<BackendConnection> connection, TimePoint now);
-    //! A server took a request and did not answer. Its kept connections are used no more; when it happens again before
-    //! any answer, others are chosen for a while, unless too many servers of the service are left out already.
-    //! \returns true when it is left out from now on
-    bool noteLost(BackendState &backend, TimePoint now);
-    //! Closes what has been idle for too long.
+    //! Returns a connection to the pool for reuse.
+    void release(BackendState &backend, std::shared_ptr<BackendConnection> connection, TimePoint now);
+    //! Records a request that got no response: closes the server's idle connections, and ejects it after consecutive
+    //! failures unless too many servers of its service are ejected already.
+    //! \returns true if the server was ejected by this call
+    bool recordFailure(BackendState &backend, TimePoint now);
+    //! Closes idle connections that have expired.
     void closeIdle(TimePoint now);
 
 private:
-    //! As the list in force has them.
+    //! The servers of the current list.
     [[nodiscard]] std::vector<BackendServer> servers() const;
     [[nodiscard]] std::shared_ptr<BackendState> pickSticky(const std::vector<std::shared_ptr<BackendState>> &usable,
                                                            const PickRequest &request, TimePoint now) const;
     [[nodiscard]] std::shared_ptr<BackendState>
     pickLeastLoaded(const std::vector<std::shared_ptr<BackendState>> &usable, TimePoint now);
-    //! Null when all that this entry prefers have much to do.
+    //! Null if all preferred servers are busy.
     [[nodiscard]] std::shared_ptr<BackendState> pickPreferred(const std::vector<std::shared_ptr<BackendState>> &usable,
                                                               TimePoint now) const;
     void sortByPreference(std::vector<std::shared_ptr<BackendState>> &servers) const;
@@ -164,11 +165,11 @@
     std::string failureDomain_;
     BackendListVersion version_;
     std::map<std::string, std::shared_ptr<BackendState>> byId_;
-    //! Each in this entry's order of preference.
+    //! By service; each in this entry's order of preference.
     std::unordered_map<std::string, std::vector<std::shared_ptr<BackendState>>> byService_;
     std::mt19937_64 random_;
     Counter &connects_;
-    Counter &reused_;
+    Counter &reusedConnections_;
 };
 
 } // namespace cardamompost
--- a/src/gateway/cp_caller_connection.cpp
+++ b/src/gateway/cp_caller_connection.cpp
@@ -18,22 +18,22 @@
 {
 
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-// A caller that takes nothing for so long has left without saying so.
+// A caller that reads nothing for this long is treated as disconnected.
 constexpr Milliseconds writeTimeout {8000};
 
 } // namespace
 
-void CallerConnection::watch(std::function<void()> onGone)
+void CallerConnection::watchForDisconnect(std::function<void()> onDisconnect)
 {
-    onGone_ = std::move(onGone);
-    if (onGone_) {
+    onDisconnect_ = std::move(onDisconnect);
+    if (onDisconnect_) {
         armWatch();
     }
 }
 
 void CallerConnection::armWatch()
 {
-    if (isArmed_ || isGone_) {
+    if (isArmed_ || isDisconnected_) {
         return;
     }
     isArmed_ = true;
@@ -51,14 +51,14 @@
     char byte = 0;
     const auto got = ::recv(stream_.socket().native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
     const bool isEmpty = got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    // Bytes are the caller's next request, which waits its turn.
+    // Readable bytes are the caller's next request, which is read later.
     if (got > 0 || isEmpty) {
         return;
     }
-    isGone_ = true;
-    if (onGone_) {
-        const auto onGone = std::exchange(onGone_, {});
-        onGone();
+    isDisconnected_ = true;
+    if (onDisconnect_) {
+        const auto onDisconnect = std::exchange(onDisconnect_, {});
+        onDisconnect();
     }
 }
 
@@ -67,18 +67,18 @@
     stream_.expires_after(writeTimeout);
     const auto [error, written] = co_await asio::async_write(stream_, asio::buffer(bytes), asTuple);
     stream_.expires_never();
-    isGone_ = isGone_ || error;
-    co_return !isGone_;
+    isDisconnected_ = isDisconnected_ || error;
+    co_return !isDisconnected_;
 }
 
-asio::awaitable<bool> CallerConnection::answer(LocalResponse own)
+asio::awaitable<bool> CallerConnection::sendResponse(LocalResponse response)
 {
-    const std::string body = fmt::format("{{\"error\":\"{}\"}}", own.reason);
+    const std::string body = fmt::format("{{\"error\":\"{}\"}}", response.reason);
     std::string text
-        = fmt::format("HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n", own.status,
-                      std::string_view(http::obsolete_reason(http::status(own.status))), body.size());
-    if (own.retryAfter.count() > 0) {
-        text += fmt::format("Retry-After: {:.3f}\r\n", static_cast<double>(own.retryAfter.count()) / 1000);
+        = fmt::format("HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n", response.status,
+                      std::string_view(http::obsolete_reason(http::status(response.status))), body.size());
+    if (response.retryAfter.count() > 0) {
+        text += fmt::format("Retry-After: {:.3f}\r\n", static_cast<double>(response.retryAfter.count()) / 1000);
     }
     if (!keepsOpen_) {
         text += "Connection: close\r\n";
@@ -91,8 +91,8 @@
 void CallerConnection::abort()
 {
     keepsOpen_ = false;
-    isGone_ = true;
-    // A reset, so that not even an answer without a length looks whole.
+    isDisconnected_ = true;
+    // Reset rather than close: a response without a length would look complete at end of stream.
     boost::system::error_code ignored;
     stream_.socket().set_option(asio::socket_base::linger(true, 0), ignored);
     stream_.socket().close(ignored);
--- a/src/gateway/cp_entry_server.cpp
+++ b/src/gateway/cp_entry_server.cpp
@@ -192,10 +192,10 @@
         stream.expires_never();
         if (error) {
             const std::optional<LocalResponse> refusal = unreadable(error);
-            caller->closeAfterAnswer();
+            caller->closeAfterResponse();
             if (refusal) {
                 parts_.log.info("request.unreadable", {{"status", refusal->status}, {"error", error.message()}});
-                co_await caller->answer(*refusal);
+                co_await caller->sendResponse(*refusal);
             }
             break;
         }
--- a/src/gateway/cp_forwarded_request.cpp
+++ b/src/gateway/cp_forwarded_request.cpp
@@ -17,7 +17,7 @@
     finish.program = programId();
     finish.previous = previousTurnId();
     finish.ending = ending;
-    finish.tokens = tokensHandedOut();
+    finish.tokens = tokensSent();
     finish.backend = lastBackend;
     finish.retentionMs
         = route->retention.count() > 0 ? static_cast<std::uint32_t>(route->retention.count()) : defaultRetentionMs;
@@ -29,7 +29,7 @@
     return finish;
 }
 
-const std::string &ForwardedRequest::stickyUnit() const
+const std::string &ForwardedRequest::stickyKey() const
 {
     if (!service->isEngine) {
         return facts.affinity;
--- a/src/gateway/cp_forwarded_request.hpp
+++ b/src/gateway/cp_forwarded_request.hpp
@@ -12,35 +12,35 @@
 namespace cardamompost
 {
 
-//! What came of sending a request to one backend server.
+//! Outcome of one attempt at a backend server.
 enum class ExchangeEnd {
-    //! The caller has its whole answer.
-    Answered,
-    //! The server said that it did not run it, or was never reached.
-    NotRun,
-    //! It was sent and not answered; it may have run.
-    Unanswered,
-    //! As Unanswered, and given up on before the deadline, because answers usually come much sooner.
-    Silent,
-    //! The answer had begun and broke off.
-    BrokeOff,
-    //! What was reserved for the turn was not confirmed.
+    //! The caller received the complete response.
+    Completed,
+    //! The server reported that it did not execute the request, or could not be reached.
+    NotExecuted,
+    //! The request was sent and got no response; it may have been executed.
+    NoResponse,
+    //! As NoResponse, but abandoned before the deadline because responses usually arrive much sooner.
+    ResponseOverdue,
+    //! The response ended before it was complete.
+    Interrupted,
+    //! The turn's reservation was not confirmed.
     NotGranted,
-    //! The end of the turn could not be made durable.
+    //! The end of the turn was not made durable in time.
     NotDurable,
-    CallerGone,
+    CallerDisconnected,
     TimedOut,
 };
 
 inline constexpr std::array exchangeEndNames {
-    Named {ExchangeEnd::Answered, "answered"},      Named {ExchangeEnd::NotRun, "not-run"},
-    Named {ExchangeEnd::Unanswered, "unanswered"},  Named {ExchangeEnd::Silent, "silent"},
-    Named {ExchangeEnd::BrokeOff, "broke-off"},     Named {ExchangeEnd::NotGranted, "not-granted"},
-    Named {ExchangeEnd::NotDurable, "not-durable"}, Named {ExchangeEnd::CallerGone, "caller-gone"},
+    Named {ExchangeEnd::Completed, "answered"},     Named {ExchangeEnd::NotExecuted, "not-run"},
+    Named {ExchangeEnd::NoResponse, "unanswered"},  Named {ExchangeEnd::ResponseOverdue, "silent"},
+    Named {ExchangeEnd::Interrupted, "broke-off"},  Named {ExchangeEnd::NotGranted, "not-granted"},
+    Named {ExchangeEnd::NotDurable, "not-durable"}, Named {ExchangeEnd::CallerDisconnected, "caller-gone"},
     Named {ExchangeEnd::TimedOut, "timed-out"},
 };
 
-//! A caller's request on its way, from its arrival to its final answer.
+//! State of a caller's request from its arrival to its final response.
 struct ForwardedRequest {
     CallerRequest message;
     std::shared_ptr<CallerConnection> caller;
@@ -48,40 +48,41 @@
     const Route *route = nullptr;
     const BackendService *service = nullptr;
     RequestFacts facts;
-    //! Of the caller's key; nothing without one, or where no keys are needed.
+    //! Hash of the caller's key; nothing if there is none or no keys are required.
     std::optional<KeyHash> keyHash;
-    //! Name of the client account that holds the key; empty when none does.
+    //! Name of the client account that holds the key; empty if there is none.
     std::string account;
     std::optional<unsigned> accountRank;
-    //! The account's requests are counted.
+    //! True if the account has a limit.
     bool isLimited = false;
     TimePoint arrived {};
-    //! When the caller or the route has waited long enough.
+    //! Arrival plus the shorter of the caller's and the route's timeout.
     TimePoint deadline {};
 
-    //! Set for a turn, which the ledger has to allow.
+    //! Set for a turn, which needs admission by the ledger.
     std::shared_ptr<PendingBegin> begin;
     EventTally tally;
-    //! Bytes of an event that is not whole yet, which a resumable stream holds back.
+    //! Bytes of an incomplete event, held back on a resumable stream.
     std::string partialEvent;
-    //! True once the head of an answer has been written.
-    bool hasStarted = false;
-    bool isComplete = false;
+    //! True once the head of the response has been written.
+    bool hasResponseStarted = false;
+    bool isResponseComplete = false;
 
-    //! Servers that had the request, and how often it may have run.
+    //! Ids of servers tried.
     std::set<std::string> tried;
     unsigned sends = 0;
+    //! Attempts that may have been executed.
     unsigned runs = 0;
-    std::shared_ptr<BackendConnection> current;
+    std::shared_ptr<BackendConnection> connection;
     std::string lastBackend;
-    //! Until the ledger's leader had a place for the turn.
-    Milliseconds waited {0};
+    //! Time until the ledger's leader admitted the request.
+    Milliseconds admissionTime {0};
     bool isPlacedByLeader = false;
     unsigned status = 0;
     std::string_view cause;
     std::string detail;
 
-    //! Ids within the account, under which the ledger keeps what belongs to them.
+    //! Ids scoped to the account, as used in the ledger.
     [[nodiscard]] std::string turnId() const
     {
         return scopedId(account, facts.id);
@@ -94,7 +95,7 @@
     {
         return scopedId(account, facts.previousTurn);
     }
-    //! Of accounts first, and within one rank of accounts of routes; 0 goes first.
+    //! Priority by account, then by route; 0 is the highest.
     [[nodiscard]] unsigned rank() const
     {
         constexpr unsigned routeRanks = 1000;
@@ -105,18 +106,18 @@
     {
         return route->kind == RouteKind::Streaming && (route->keepsHistory || facts.budget >= 0);
     }
-    //! True when the same request may run more than once.
+    //! True if the request may safely be executed more than once.
     [[nodiscard]] bool isRepeatable() const
     {
         return route->kind == RouteKind::Safe || (route->kind == RouteKind::Streaming && route->isResumable);
     }
-    [[nodiscard]] std::int64_t tokensHandedOut()
+    [[nodiscard]] std::int64_t tokensSent()
     {
         return static_cast<std::int64_t>(tally.events()) * service->engine.tokensPerEvent;
     }
     [[nodiscard]] TurnFinish finish(TurnEnding ending);
-    //! What it has in common with others that a server which had them answers faster; empty for none.
-    [[nodiscard]] const std::string &stickyUnit() const;
+    //! Key shared by requests that benefit from reaching the same server; empty for none.
+    [[nodiscard]] const std::string &stickyKey() const;
 };
 
 } // namespace cardamompost
--- a/src/gateway/cp_forwarder.cpp
+++ b/src/gateway/cp_forwarder.cpp
@@ -13,31 +13,31 @@
 namespace
 {
 
-constexpr unsigned statusInvalid = 400;
-constexpr unsigned statusSpent = 402;
+constexpr unsigned statusBadRequest = 400;
+constexpr unsigned statusPaymentRequired = 402;
 constexpr unsigned statusNotFound = 404;
 constexpr unsigned statusBadGateway = 502;
 constexpr unsigned statusUnavailable = 503;
 constexpr unsigned statusTimeout = 504;
 constexpr Milliseconds connectTimeout {400};
-constexpr Milliseconds avoidFor {1000};
-// Callers give a stream up after two seconds of silence, and a plain call near its deadline.
-constexpr Milliseconds mute {900};
-// Longest wait for the ledger before a turn is refused; an election of a new leader fits in.
+constexpr Milliseconds connectEjectionTime {1000};
+// A caller that disconnects after waiting this long counts as a failure of the server.
+constexpr Milliseconds unresponsiveAfter {900};
+// Longest wait for the ledger; leaves time for a leader election.
 constexpr Milliseconds beginTimeout {1750};
-constexpr Milliseconds settleTimeout {6000};
+constexpr Milliseconds finishTimeout {6000};
 constexpr Milliseconds retryAfterShort {250};
-constexpr Milliseconds comeBackLater {500};
-// Servers that may say that they did not run a request before its caller is told so.
+constexpr Milliseconds retryAfterLong {500};
+// Attempts that may end without execution before the request is refused.
 constexpr unsigned maxSends = 4;
-// Shares of a server's slots from which on requests leave the one that holds what they need. Plain services slow down
-// before they are full, and what they gain by it is less than an engine's prompt.
+// Share of a server's slots above which requests leave their sticky server. Engines have the higher limit, since a
+// cached prompt saves more than other cached data.
 constexpr double engineLoadLimit = 0.8;
 constexpr double serverLoadLimit = 0.5;
 constexpr unsigned maxConnectFailures = 6;
-// Repeats for a route's first attempts, so that servers that fail together are not sent several times their load.
-constexpr double repeatsPerAttempt = 0.2;
-constexpr double repeatBurst = 20;
+// Limits retries to a share of first attempts, so that servers that fail together are not overloaded.
+constexpr double retriesPerAttempt = 0.2;
+constexpr double retryBurst = 20;
 
 TimePoint timeNow()
 {
@@ -46,8 +46,8 @@
 
 } // namespace
 
-Forwarder::Repeats::Repeats()
-    : budget(repeatsPerAttempt, repeatBurst)
+Forwarder::RetryState::RetryState()
+    : budget(retriesPerAttempt, retryBurst)
 {
 }
 
@@ -55,23 +55,23 @@
     : parts_(parts)
     , report_({parts.pool, parts.ledger, parts.log, parts.metrics})
     , access_({parts.adapter, parts.settings, parts.ledger, parts.metrics})
-    , silences_(parts.metrics.counter("cardamompost_answers_given_up_total"))
-    , lost_(parts.metrics.counter("cardamompost_backend_lost_total"))
-    , repeated_(parts.metrics.counter("cardamompost_requests_repeated_total"))
-    , resumed_(parts.metrics.counter("cardamompost_streams_resumed_total"))
+    , responseTimeouts_(parts.metrics.counter("cardamompost_answers_given_up_total"))
+    , lostRequests_(parts.metrics.counter("cardamompost_backend_lost_total"))
+    , retries_(parts.metrics.counter("cardamompost_requests_repeated_total"))
+    , resumedStreams_(parts.metrics.counter("cardamompost_streams_resumed_total"))
 {
 }
 
 void Forwarder::setTable(std::shared_ptr<const RouteTable> table)
 {
     table_ = std::move(table);
-    std::erase_if(repeats_, [&](const auto &item) { return !table_->hasRoute(item.first); });
+    std::erase_if(retryStates_, [&](const auto &item) { return !table_->hasRoute(item.first); });
 }
 
-Forwarder::Repeats *Forwarder::repeatsOf(const ForwardedRequest &request)
+Forwarder::RetryState *Forwarder::retryStateFor(const ForwardedRequest &request)
 {
     const bool isRepeatable = request.isRepeatable() && request.route->maxAttempts > 1;
-    return isRepeatable ? &repeats_[request.route->name] : nullptr;
+    return isRepeatable ? &retryStates_[request.route->name] : nullptr;
 }
 
 asio::awaitable<void> Forwarder::forward(CallerRequest message, std::shared_ptr<CallerConnection> caller)
@@ -82,13 +82,13 @@
     request.caller = std::move(caller);
     request.table = table_;
     ++inFlight_;
-    request.caller->watch([&request] {
-        if (request.current) {
-            request.current->stream.cancel();
+    request.caller->watchForDisconnect([&request] {
+        if (request.connection) {
+            request.connection->stream.cancel();
         }
     });
     co_await run(request);
-    request.caller->watch({});
+    request.caller->watchForDisconnect({});
     --inFlight_;
     report_.end(request);
 }
@@ -102,48 +102,48 @@
     if (request.route == nullptr) {
         return false;
     }
-    const std::string &spread = request.facts.program.empty() ? request.facts.id : request.facts.program;
-    request.service = request.table->service(RouteTable::pickService(*request.route, stableHash(spread)));
+    const std::string &splitKey = request.facts.program.empty() ? request.facts.id : request.facts.program;
+    request.service = request.table->service(RouteTable::pickService(*request.route, stableHash(splitKey)));
     const Milliseconds callerTimeout = request.facts.callerTimeout.value_or(request.route->timeout);
     request.deadline = request.arrived + std::min(callerTimeout, request.route->timeout);
     return true;
 }
 
-LocalResponse Forwarder::noRoute() const
+LocalResponse Forwarder::noRouteResponse() const
 {
     if (parts_.ledger.hasNewestDocument()) {
         return {statusNotFound, "no route for this host and path", Milliseconds(0)};
     }
-    // Guards callers of a route that was added a moment ago: a 404 is final for them, and an entry that is cut off, or
-    // to which the newest document is still on its way, can't know that there is no such route.
+    // A 404 is final for the caller, so it is sent only if this entry is known to have the newest document. Otherwise
+    // the route may have just been added.
     return {statusUnavailable, "no route is known, and the document may be old", retryAfterShort};
 }
 
 asio::awaitable<void> Forwarder::run(ForwardedRequest &request)
 {
-    // Before anything is decided: a request that is refused at once is looked for by its id too.
+    // Read before any refusal, so that the log line of a refused request has its id.
     request.facts = readFacts(request.message, parts_.adapter.headers());
-    const std::string unreadable = "the header '" + request.facts.fault + "' can't be read";
+    const std::string malformedHeader = "header '" + request.facts.fault + "' is malformed";
     LocalResponse refusal;
     if (!request.facts.fault.empty()) {
-        refusal = {statusInvalid, unreadable, Milliseconds(0)};
+        refusal = {statusBadRequest, malformedHeader, Milliseconds(0)};
     } else if (!request.table) {
-        refusal = {statusUnavailable, "no configuration is known yet", comeBackLater};
+        refusal = {statusUnavailable, "no configuration loaded yet", retryAfterLong};
     } else if (!findRoute(request)) {
-        refusal = noRoute();
+        refusal = noRouteResponse();
     } else if (const std::optional<LocalResponse> denied = access_.identify(request)) {
         refusal = *denied;
-    } else if (const std::optional<LocalResponse> limited = co_await access_.admit(request)) {
-        refusal = *limited;
+    } else if (const std::optional<LocalResponse> overLimit = co_await access_.admit(request)) {
+        refusal = *overLimit;
     }
     if (!refusal.reason.empty()) {
         co_await refuse(request, refusal);
         co_return;
     }
-    const bool mayGoOn = co_await beginTurn(request);
-    if (mayGoOn) {
+    const bool hasBegun = co_await beginTurn(request);
+    if (hasBegun) {
         co_await tryBackends(request);
-        settle(request);
+        finishTurn(request);
     }
 }
 
@@ -151,7 +151,7 @@
 {
     request.status = refusal.status;
     request.cause = refusal.reason;
-    co_await request.caller->answer(refusal);
+    co_await request.caller->sendResponse(refusal);
 }
 
 PlacementRequest Forwarder::placementRequestFor(const ForwardedRequest &request) const
@@ -164,28 +164,28 @@
     placement.programTimeLeftMs = request.facts.programTimeLeft.value_or(Milliseconds(0)).count();
     placement.timeLeftMs = static_cast<std::uint32_t>(
         std::max<std::int64_t>(0, std::chrono::duration_cast<Milliseconds>(request.deadline - now).count()));
-    placement.unreachable = parts_.pool.avoided(request.service->name, now);
+    placement.unreachable = parts_.pool.ejected(request.service->name, now);
     return placement;
 }
 
-std::shared_ptr<BackendState> Forwarder::choose(ForwardedRequest &request)
+std::shared_ptr<BackendState> Forwarder::chooseBackend(ForwardedRequest &request)
 {
     const TimePoint now = timeNow();
     if (now >= request.deadline) {
         return nullptr;
     }
-    // The ledger's leader sees the turns of all entries; an entry chooses by itself only where that is of no use.
+    // The leader's choice is preferred for the first attempt, since it sees the turns of all entries.
     if (request.begin && request.tried.empty()) {
-        if (auto placed = parts_.pool.find(request.begin->backend(), now)) {
+        if (auto leaderChoice = parts_.pool.find(request.begin->backend(), now)) {
             request.isPlacedByLeader = true;
-            return placed;
+            return leaderChoice;
         }
     }
-    const std::string &unit = request.stickyUnit();
-    const bool isSticky = request.route->isSticky && !unit.empty();
-    const PickRequest wanted {request.service->name, isSticky ? stableHash(unit) | 1U : 0, request.tried,
-                              request.service->isEngine ? engineLoadLimit : serverLoadLimit};
-    return parts_.pool.pick(wanted, now);
+    const std::string &stickyValue = request.stickyKey();
+    const bool isSticky = request.route->isSticky && !stickyValue.empty();
+    const PickRequest pickRequest {request.service->name, isSticky ? stableHash(stickyValue) | 1U : 0, request.tried,
+                                   request.service->isEngine ? engineLoadLimit : serverLoadLimit};
+    return parts_.pool.pick(pickRequest, now);
 }
 
 asio::awaitable<bool> Forwarder::beginTurn(ForwardedRequest &request)
@@ -206,24 +206,24 @@
     }
     request.begin = parts_.ledger.begin(std::move(begin), std::min(request.deadline, request.arrived + beginTimeout));
     co_await request.begin->untilTentative();
-    request.waited = std::chrono::duration_cast<Milliseconds>(timeNow() - request.arrived);
+    request.admissionTime = std::chrono::duration_cast<Milliseconds>(timeNow() - request.arrived);
     if (request.begin->isTentative()) {
         co_return true;
     }
     LocalResponse refusal {statusUnavailable, "the ledger can't be reached", retryAfterShort};
     if (request.begin->status() == TurnBeginStatus::BudgetExhausted) {
-        refusal = {statusSpent, "the program's budget does not hold the turn", Milliseconds(0)};
+        refusal = {statusPaymentRequired, "the turn exceeds the program's remaining budget", Milliseconds(0)};
     } else if (request.begin->status() == TurnBeginStatus::NoSuchTurn) {
-        refusal = {statusNotFound, "no such turn to continue", Milliseconds(0)};
+        refusal = {statusNotFound, "the previous turn does not exist", Milliseconds(0)};
     } else if (request.begin->status() == TurnBeginStatus::Limited) {
-        refusal = access_.limited(request.begin->retryAfter());
+        refusal = access_.overLimitResponse(request.begin->retryAfter());
     } else if (request.begin->status() == TurnBeginStatus::Overloaded) {
-        refusal = {statusUnavailable, "the ledger has more to write than it can", request.begin->retryAfter()};
+        refusal = {statusUnavailable, "the ledger is overloaded", request.begin->retryAfter()};
     }
     co_await refuse(request, refusal);
-    // A reservation may have been made behind an answer that was lost.
+    // The leader may have made a reservation although its reply was lost.
     if (refusal.status == statusUnavailable) {
-        settle(request);
+        finishTurn(request);
     }
     co_return false;
 }
@@ -232,14 +232,14 @@
                                                                        std::shared_ptr<BackendState> backend)
 {
     const TimePoint now = timeNow();
-    if (auto kept = parts_.pool.takeKept(*backend, now)) {
-        co_return kept;
+    if (auto pooled = parts_.pool.takeIdle(*backend, now)) {
+        co_return pooled;
     }
-    const auto left = std::chrono::duration_cast<Milliseconds>(request.deadline - now);
+    const auto timeLeft = std::chrono::duration_cast<Milliseconds>(request.deadline - now);
     Result<std::shared_ptr<BackendConnection>> opened
-        = co_await parts_.pool.connect(backend, std::min(connectTimeout, left));
+        = co_await parts_.pool.connect(backend, std::min(connectTimeout, timeLeft));
     if (!opened) {
-        backend->avoid(timeNow() + avoidFor);
+        backend->ejectUntil(timeNow() + connectEjectionTime);
         parts_.log.info("backend.unreachable",
                         {{"backend", backend->server().id},
                          {"address", backend->server().address.toString()},
@@ -254,61 +254,62 @@
 asio::awaitable<void> Forwarder::tryBackends(ForwardedRequest &request)
 {
     unsigned connectFailures = 0;
-    bool mayGoOn = true;
-    if (Repeats *repeats = repeatsOf(request)) {
-        repeats->budget.onFirstAttempt();
+    bool hasNextAttempt = true;
+    if (RetryState *retryState = retryStateFor(request)) {
+        retryState->budget.onFirstAttempt();
     }
-    while (mayGoOn) {
-        if (request.caller->isGone()) {
+    while (hasNextAttempt) {
+        if (request.caller->isDisconnected()) {
             request.cause = "the caller left";
             co_return;
         }
-        if (!request.hasStarted) {
+        if (!request.hasResponseStarted) {
             if (const std::optional<LocalResponse> denied = access_.recheck(request, *table_)) {
                 co_await refuse(request, *denied);
                 co_return;
             }
         }
-        const std::shared_ptr<BackendState> backend = choose(request);
+        const std::shared_ptr<BackendState> backend = chooseBackend(request);
         if (!backend) {
             request.sends = maxSends;
-            mayGoOn = co_await goesOn(request, ExchangeEnd::NotRun, {});
+            hasNextAttempt = co_await retryOrFinish(request, ExchangeEnd::NotExecuted, {});
             continue;
         }
         const std::string id = backend->server().id;
-        request.current = co_await connect(request, backend);
-        if (!request.current) {
+        request.connection = co_await connect(request, backend);
+        if (!request.connection) {
             request.tried.insert(id);
             if (++connectFailures >= maxConnectFailures) {
                 request.sends = maxSends;
             }
-            mayGoOn = co_await goesOn(request, ExchangeEnd::NotRun, id);
+            hasNextAttempt = co_await retryOrFinish(request, ExchangeEnd::NotExecuted, id);
             continue;
         }
         request.lastBackend = id;
         BackendExchange exchange({parts_.io, parts_.adapter.headers(), parts_.pool, parts_.ledger}, request, backend,
-                                 request.current);
+                                 request.connection);
         const std::optional<Milliseconds> responseTimeout = responseTimeoutFor(request);
         const ExchangeEnd end = co_await exchange.run(responseTimeout);
-        request.current.reset();
-        noteAnswer(request, end, exchange.answerTime());
-        // Guards against a server that takes requests and answers nothing, while its health is good: it shows only by
-        // callers that give up. One that leaves early for reasons of its own says nothing.
-        const bool isGivenUp = end == ExchangeEnd::CallerGone && exchange.silence().value_or(Milliseconds(0)) >= mute;
-        if (end == ExchangeEnd::Unanswered || isGivenUp) {
-            noteLost(*backend, request);
-        } else if (exchange.answerTime()) {
-            backend->noteAnswer();
+        request.connection.reset();
+        recordResponse(request, end, exchange.responseTime());
+        // Detects a server that accepts requests and never responds while its health checks pass. A caller that
+        // disconnects early says nothing about the server.
+        const bool hasCallerGivenUp = end == ExchangeEnd::CallerDisconnected
+            && exchange.timeWithoutResponse().value_or(Milliseconds(0)) >= unresponsiveAfter;
+        if (end == ExchangeEnd::NoResponse || hasCallerGivenUp) {
+            recordLostRequest(*backend, request);
+        } else if (exchange.responseTime()) {
+            backend->recordSuccess();
         }
         ++request.sends;
-        mayGoOn = co_await goesOn(request, end, id);
+        hasNextAttempt = co_await retryOrFinish(request, end, id);
     }
 }
 
-void Forwarder::noteLost(BackendState &backend, const ForwardedRequest &request)
+void Forwarder::recordLostRequest(BackendState &backend, const ForwardedRequest &request)
 {
-    lost_.add();
-    if (parts_.pool.noteLost(backend, timeNow())) {
+    lostRequests_.add();
+    if (parts_.pool.recordFailure(backend, timeNow())) {
         parts_.log.warn("backend.left_out",
                         {{"backend", backend.server().id},
                          {"address", backend.server().address.toString()},
@@ -321,86 +322,87 @@
 
 std::optional<Milliseconds> Forwarder::responseTimeoutFor(const ForwardedRequest &request)
 {
-    const Repeats *repeats = repeatsOf(request);
-    const bool mayGoElsewhere = repeats != nullptr && request.runs + 1 < request.route->maxAttempts
-        && repeats->budget.mayRetry() && !request.hasStarted;
-    if (!mayGoElsewhere) {
+    const RetryState *retryState = retryStateFor(request);
+    const bool canRetryElsewhere = retryState != nullptr && request.runs + 1 < request.route->maxAttempts
+        && retryState->budget.mayRetry() && !request.hasResponseStarted;
+    if (!canRetryElsewhere) {
         return std::nullopt;
     }
-    return repeats->answers.responseTimeout(std::chrono::duration_cast<Milliseconds>(request.deadline - timeNow()));
+    return retryState->responseTimes.responseTimeout(
+        std::chrono::duration_cast<Milliseconds>(request.deadline - timeNow()));
 }
 
-void Forwarder::noteAnswer(const ForwardedRequest &request, ExchangeEnd end, std::optional<Milliseconds> time)
+void Forwarder::recordResponse(const ForwardedRequest &request, ExchangeEnd end, std::optional<Milliseconds> time)
 {
-    Repeats *repeats = repeatsOf(request);
-    if (repeats != nullptr && time && end != ExchangeEnd::NotRun) {
-        repeats->answers.observe(*time);
+    RetryState *retryState = retryStateFor(request);
+    if (retryState != nullptr && time && end != ExchangeEnd::NotExecuted) {
+        retryState->responseTimes.observe(*time);
     }
-    if (end == ExchangeEnd::Silent) {
-        silences_.add();
+    if (end == ExchangeEnd::ResponseOverdue) {
+        responseTimeouts_.add();
     }
 }
 
-asio::awaitable<bool> Forwarder::goesOn(ForwardedRequest &request, ExchangeEnd end, const std::string &backend)
+asio::awaitable<bool> Forwarder::retryOrFinish(ForwardedRequest &request, ExchangeEnd end, const std::string &backend)
 {
     request.cause = nameOf(exchangeEndNames, end);
     request.tried.insert(backend);
-    request.runs += end == ExchangeEnd::NotRun ? 0 : 1;
+    request.runs += end == ExchangeEnd::NotExecuted ? 0 : 1;
     const bool hasTime = timeNow() < request.deadline;
-    LocalResponse final {statusBadGateway, "the backend server gave no answer", Milliseconds(0)};
+    LocalResponse final {statusBadGateway, "no response from the backend server", Milliseconds(0)};
     switch (end) {
-    case ExchangeEnd::Answered:
-    case ExchangeEnd::CallerGone:
+    case ExchangeEnd::Completed:
+    case ExchangeEnd::CallerDisconnected:
         co_return false;
-    case ExchangeEnd::NotRun:
+    case ExchangeEnd::NotExecuted:
         if (request.sends < maxSends && hasTime) {
             co_return true;
         }
         if (request.runs == 0) {
-            final = {statusUnavailable, "no backend server could run it", retryAfterShort};
+            final = {statusUnavailable, "no backend server could execute the request", retryAfterShort};
         }
         break;
-    case ExchangeEnd::Unanswered:
-    case ExchangeEnd::Silent:
-    case ExchangeEnd::BrokeOff: {
-        Repeats *repeats = repeatsOf(request);
-        const bool isAllowed = repeats != nullptr && request.runs < request.route->maxAttempts && hasTime;
-        if (isAllowed && repeats->budget.tryRetry()) {
-            (request.hasStarted ? resumed_ : repeated_).add();
+    case ExchangeEnd::NoResponse:
+    case ExchangeEnd::ResponseOverdue:
+    case ExchangeEnd::Interrupted: {
+        RetryState *retryState = retryStateFor(request);
+        const bool canRetry = retryState != nullptr && request.runs < request.route->maxAttempts && hasTime;
+        if (canRetry && retryState->budget.tryRetry()) {
+            (request.hasResponseStarted ? resumedStreams_ : retries_).add();
             co_return true;
         }
         break;
     }
     case ExchangeEnd::TimedOut:
-        final = {statusTimeout, "the time for the request is over", Milliseconds(0)};
+        final = {statusTimeout, "the request's deadline has passed", Milliseconds(0)};
         break;
     case ExchangeEnd::NotGranted:
     case ExchangeEnd::NotDurable:
         final.reason = "the ledger did not confirm the turn";
         break;
     }
-    if (request.hasStarted) {
+    if (request.hasResponseStarted) {
         request.caller->abort();
         co_return false;
     }
     request.status = final.status;
-    co_await request.caller->answer(final);
+    co_await request.caller->sendResponse(final);
     co_return false;
 }
 
-void Forwarder::settle(ForwardedRequest &request)
+void Forwarder::finishTurn(ForwardedRequest &request)
 {
-    // The whole turn of a kept history is settled already, before its answer ended.
-    if (!request.begin || (request.isComplete && request.route->keepsHistory)) {
+    // A complete turn that keeps history was finished before its stream ended.
+    if (!request.begin || (request.isResponseComplete && request.route->keepsHistory)) {
         return;
     }
-    const bool hasRun = request.runs > 0 || request.hasStarted || request.isComplete;
+    const bool hasRun = request.runs > 0 || request.hasResponseStarted || request.isResponseComplete;
     TurnEnding ending = hasRun ? TurnEnding::Broken : TurnEnding::NotRun;
-    if (request.isComplete) {
+    if (request.isResponseComplete) {
         ending = TurnEnding::Complete;
     }
     auto work = [](LedgerClient &ledger, TurnFinish finish) -> asio::awaitable<void> {
-        co_await ledger.finish(std::move(finish), timeNow() + settleTimeout);
+        co_await ledger.finish(std::move(finish), timeNow() + finishTimeout);
     };
     asio::co_spawn(parts_.io, work(parts_.ledger, request.finish(ending)), asio::detached);
 }
--- a/src/gateway/cp_forwarder.hpp
+++ b/src/gateway/cp_forwarder.hpp
@@ -13,10 +13,10 @@
 namespace cardamompost
 {
 
-//! Sends callers' requests to backend servers and their answers back, once the ledger allows it.
+//! Forwards callers' requests to backend servers and relays the responses, once the ledger has admitted them.
 //!
-//! What may be repeated follows from the route's kind alone. A final answer is given as soon as it is known, and says
-//! truthfully whether the request may have run.
+//! The route's kind alone decides which requests may be retried. The caller gets its final response as soon as the
+//! outcome is known; the status tells whether the request may have been executed.
 class Forwarder
 {
 public:
@@ -32,14 +32,14 @@
 
     explicit Forwarder(Parts parts);
 
-    //! Puts a document in force for the requests that follow.
+    //! Sets the route table for subsequent requests.
     void setTable(std::shared_ptr<const RouteTable> table);
     [[nodiscard]] const std::shared_ptr<const RouteTable> &table() const
     {
         return table_;
     }
 
-    //! Answers one request.
+    //! Handles one request, up to its final response.
     boost::asio::awaitable<void> forward(CallerRequest message, std::shared_ptr<CallerConnection> caller);
     [[nodiscard]] std::size_t inFlight() const
     {
@@ -47,47 +47,47 @@
     }
 
 private:
-    //! What is known of a route whose requests may be repeated.
-    struct Repeats {
-        Repeats();
+    //! State of a route whose requests may be retried.
+    struct RetryState {
+        RetryState();
 
-        ResponseTimeTracker answers;
+        ResponseTimeTracker responseTimes;
         RetryBudget budget;
     };
 
-    //! Null when the request may run on one server only.
-    [[nodiscard]] Repeats *repeatsOf(const ForwardedRequest &request);
+    //! Null if the request must not be retried.
+    [[nodiscard]] RetryState *retryStateFor(const ForwardedRequest &request);
     boost::asio::awaitable<void> run(ForwardedRequest &request);
     [[nodiscard]] bool findRoute(ForwardedRequest &request);
-    //! The answer to a request without a route.
-    [[nodiscard]] LocalResponse noRoute() const;
+    //! The response to a request that matches no route.
+    [[nodiscard]] LocalResponse noRouteResponse() const;
     [[nodiscard]] PlacementRequest placementRequestFor(const ForwardedRequest &request) const;
-    //! The next server to send to; null when there is none, or no time.
-    [[nodiscard]] std::shared_ptr<BackendState> choose(ForwardedRequest &request);
+    //! The next server to try; null if there is none or the deadline has passed.
+    [[nodiscard]] std::shared_ptr<BackendState> chooseBackend(ForwardedRequest &request);
     boost::asio::awaitable<bool> beginTurn(ForwardedRequest &request);
     boost::asio::awaitable<void> tryBackends(ForwardedRequest &request);
     boost::asio::awaitable<std::shared_ptr<BackendConnection>> connect(ForwardedRequest &request,
                                                                        std::shared_ptr<BackendState> backend);
-    //! How long the next server may be silent; nothing when the request can't go to another one.
+    //! Time to wait for the head of the response; nothing if the request can't be retried on another server.
     [[nodiscard]] std::optional<Milliseconds> responseTimeoutFor(const ForwardedRequest &request);
-    //! Ends a request that is not sent.
+    //! Responds to a request that is not forwarded.
     boost::asio::awaitable<void> refuse(ForwardedRequest &request, LocalResponse refusal);
-    void noteLost(BackendState &backend, const ForwardedRequest &request);
-    void noteAnswer(const ForwardedRequest &request, ExchangeEnd end, std::optional<Milliseconds> time);
-    boost::asio::awaitable<bool> goesOn(ForwardedRequest &request, ExchangeEnd end, const std::string &backend);
-    void settle(ForwardedRequest &request);
+    void recordLostRequest(BackendState &backend, const ForwardedRequest &request);
+    void recordResponse(const ForwardedRequest &request, ExchangeEnd end, std::optional<Milliseconds> time);
+    boost::asio::awaitable<bool> retryOrFinish(ForwardedRequest &request, ExchangeEnd end, const std::string &backend);
+    void finishTurn(ForwardedRequest &request);
 
     Parts parts_;
     RequestReport report_;
     AccessCheck access_;
     std::shared_ptr<const RouteTable> table_;
-    //! By route.
-    std::unordered_map<std::string, Repeats> repeats_;
+    //! Keyed by route name.
+    std::unordered_map<std::string, RetryState> retryStates_;
     std::size_t inFlight_ = 0;
-    Counter &silences_;
-    Counter &lost_;
-    Counter &repeated_;
-    Counter &resumed_;
+    Counter &responseTimeouts_;
+    Counter &lostRequests_;
+    Counter &retries_;
+    Counter &resumedStreams_;
 };
 
 } // namespace cardamompost
--- a/src/gateway/cp_local_responses.hpp
+++ b/src/gateway/cp_local_responses.hpp
@@ -12,7 +12,7 @@
 inline constexpr unsigned statusOk = 200;
 inline constexpr unsigned statusNotFound = 404;
 
-//! Answers that the gateway's own HTTP interfaces have in common.
+//! Responses shared by the gateway's own HTTP interfaces.
 inline HttpResponse jsonResponse(unsigned status, std::string body)
 {
     HttpResponse response;
@@ -32,7 +32,7 @@
     return failureResponse(answerFor(error.kind).status, error.message);
 }
 
-//! What can't be told now can be asked for again soon.
+//! A response to a request that can be retried shortly.
 inline HttpResponse unavailableResponse(std::string_view message)
 {
     constexpr unsigned statusUnavailable = 503;
--- a/src/gateway/cp_request_report.cpp
+++ b/src/gateway/cp_request_report.cpp
@@ -13,10 +13,10 @@
 constexpr std::size_t logLineFields = 22;
 constexpr unsigned firstServerError = 500;
 
-//! What is known of whether a request ran, for the metrics.
+//! Whether the request was executed, as a metric label.
 std::string_view outcomeOf(const ForwardedRequest &request)
 {
-    const bool isAnswered = request.cause == nameOf(exchangeEndNames, ExchangeEnd::Answered);
+    const bool isAnswered = request.cause == nameOf(exchangeEndNames, ExchangeEnd::Completed);
     if (isAnswered) {
         return "ran";
     }
@@ -35,14 +35,15 @@
 {
     const auto time = std::chrono::steady_clock::now() - request.arrived;
     const auto ms = std::chrono::duration_cast<Milliseconds>(time).count();
-    const std::string work = request.route == nullptr ? std::string("none") : request.route->name;
+    const std::string workClass = request.route == nullptr ? std::string("none") : request.route->name;
     const std::string kind(request.route == nullptr ? "none" : nameOf(routeKindNames, request.route->kind));
-    const MetricLabels labels {{"class", work}, {"kind", kind}, {"outcome", std::string(outcomeOf(request))}};
-    parts_.metrics.counter("cardamompost_requests_total", {{"class", work}, {"status", std::to_string(request.status)}})
+    const MetricLabels labels {{"class", workClass}, {"kind", kind}, {"outcome", std::string(outcomeOf(request))}};
+    parts_.metrics
+        .counter("cardamompost_requests_total", {{"class", workClass}, {"status", std::to_string(request.status)}})
         .add();
     parts_.metrics.histogram("cardamompost_request_seconds", labels)
         .observe(std::chrono::duration<double>(time).count());
-    // In one block on the stack: a line of each request has some sixteen fields.
+    // The line is built in a buffer on the stack, since every request writes one.
     std::array<unsigned char, logLineBytes> space;
     boost::json::monotonic_resource memory(space.data(), space.size());
     boost::json::object line(&memory);
@@ -64,7 +65,7 @@
             line["placed_by"] = request.isPlacedByLeader ? "leader" : "entry";
         }
         if (request.begin || request.isLimited) {
-            line["waited_ms"] = request.waited.count();
+            line["waited_ms"] = request.admissionTime.count();
         }
         if (request.facts.programTimeLeft) {
             line["left_ms"] = request.facts.programTimeLeft->count();
@@ -79,8 +80,7 @@
     if (parts_.ledger.updateAge() > LedgerClient::maxUpdateAge) {
         onStaleUpdates_.add();
     }
-    // Guards the lines that somebody will look for: a warning is written at once, so that it outlives a process that is
-    // killed the moment after.
+    // Warnings are written at once, so that they are not lost if the process is killed.
     const bool isFailure = request.status == 0 || request.status >= firstServerError;
     parts_.log.write(isFailure ? LogLevel::Warning : LogLevel::Info, "request.end", line);
 }
--- a/src/gateway/cp_request_report.hpp
+++ b/src/gateway/cp_request_report.hpp
@@ -8,7 +8,7 @@
 namespace cardamompost
 {
 
-//! Says how each request ended: one line in the log, and the counters and latencies of its route.
+//! Reports how each request ended: one log line, and the counters and latencies of its route.
 class RequestReport
 {
 public:
@@ -21,7 +21,7 @@
 
     explicit RequestReport(Parts parts);
 
-    //! To be called once for a request, after its final answer.
+    //! Called once per request, after its final response.
     void end(const ForwardedRequest &request) const;
 
 private:
--- a/tests/gateway/cp_backend_pool.tests.cpp
+++ b/tests/gateway/cp_backend_pool.tests.cpp
@@ -31,8 +31,8 @@
     return ids;
 }
 
-//! All servers that a request may be sent to, one after the other.
-std::set<std::string> allOf(BackendPool &pool)
+//! Ids of all servers that the successive attempts of one request would try.
+std::set<std::string> allCandidates(BackendPool &pool)
 {
     std::set<std::string> ids;
     while (const auto backend = pool.pick({"engines", 0, ids}, now)) {
@@ -45,20 +45,19 @@
 
 BOOST_AUTO_TEST_SUITE(backend_pool)
 
-BOOST_AUTO_TEST_CASE(a_server_that_is_leaving_or_gone_gets_nothing_new)
+BOOST_AUTO_TEST_CASE(leaving_and_removed_servers_get_no_new_requests)
 {
     MetricRegistry metrics;
     BackendPool pool("entry", "apapa", metrics);
     BOOST_TEST(pool.setList(list(1, 1, {server("a"), server("b"), server("c")})));
-    BOOST_TEST(allOf(pool).size() == 3U);
+    BOOST_TEST(allCandidates(pool).size() == 3U);
     BOOST_TEST(pool.setList(list(1, 2, {server("a", true), server("b")})));
     BOOST_TEST((picked(pool) == std::set<std::string> {"b"}));
-    BOOST_TEST((allOf(pool) == std::set<std::string> {"b"}));
+    BOOST_TEST((allCandidates(pool) == std::set<std::string> {"b"}));
 }
 
-// The reader of the list is cut off and replaced. Its last list arrives after the new reader's first one: servers that
-// have begun to leave in between would get work again.
-BOOST_AUTO_TEST_CASE(an_older_list_or_one_of_an_older_reader_changes_nothing)
+// Guards against a late list of a former leader that returns leaving servers to use.
+BOOST_AUTO_TEST_CASE(an_older_list_or_one_of_an_older_term_is_ignored)
 {
     MetricRegistry metrics;
     BackendPool pool("entry", "apapa", metrics);
@@ -68,7 +67,7 @@
     BOOST_TEST((picked(pool) == std::set<std::string> {"new"}));
 }
 
-BOOST_AUTO_TEST_CASE(servers_that_had_the_request_are_left_out)
+BOOST_AUTO_TEST_CASE(servers_already_tried_are_excluded)
 {
     MetricRegistry metrics;
     BackendPool pool("entry", "apapa", metrics);
@@ -77,18 +76,18 @@
     BOOST_TEST(picked(pool, {"a", "b"}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_server_in_doubt_is_chosen_only_when_there_is_no_other)
+BOOST_AUTO_TEST_CASE(an_ejected_server_is_chosen_only_if_there_is_no_other)
 {
     MetricRegistry metrics;
     BackendPool pool("entry", "apapa", metrics);
     pool.setList(list(1, 1, {server("a"), server("b")}));
-    pool.pick({"engines", 0, {"b"}}, now)->avoid(now + Milliseconds(1000));
+    pool.pick({"engines", 0, {"b"}}, now)->ejectUntil(now + Milliseconds(1000));
     BOOST_TEST((picked(pool) == std::set<std::string> {"b"}));
-    pool.pick({"engines", 0, {"a"}}, now)->avoid(now + Milliseconds(1000));
-    BOOST_TEST(allOf(pool).size() == 2U);
+    pool.pick({"engines", 0, {"a"}}, now)->ejectUntil(now + Milliseconds(1000));
+    BOOST_TEST(allCandidates(pool).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(every_entry_finds_the_same_server_for_a_program_until_it_is_loaded)
+BOOST_AUTO_TEST_CASE(all_entries_pick_the_same_sticky_server_until_it_is_loaded)
 {
     MetricRegistry metrics;
     BackendPool one("one", "apapa", metrics);
@@ -100,16 +99,15 @@
         const auto first = one.pick({"engines", point, {}}, now);
         BOOST_TEST(first->server().id == two.pick({"engines", point, {}}, now)->server().id);
     }
-    const auto warm = one.pick({"engines", 7, {}}, now);
-    warm->report(8, 2, now);
-    BOOST_TEST(one.pick({"engines", 7, {}}, now)->server().id != warm->server().id);
-    // A report grows old: what it said of others' requests is worth less and less.
-    BOOST_TEST(one.pick({"engines", 7, {}}, now + Milliseconds(3000))->server().id == warm->server().id);
+    const auto sticky = one.pick({"engines", 7, {}}, now);
+    sticky->report(8, 2, now);
+    BOOST_TEST(one.pick({"engines", 7, {}}, now)->server().id != sticky->server().id);
+    // A load report decays with age.
+    BOOST_TEST(one.pick({"engines", 7, {}}, now + Milliseconds(3000))->server().id == sticky->server().id);
 }
 
-// 67 entries kept connections to each of 64 servers, used each every five seconds, and lost a request on each one that
-// its server had dropped meanwhile (okpara-stow-grown scale-1: 182 programs of 3,994).
-BOOST_AUTO_TEST_CASE(an_entry_keeps_to_a_few_servers_of_its_own_failure_domain_while_they_have_places)
+// Guards against connections to many servers that are each used rarely and closed by the server while idle.
+BOOST_AUTO_TEST_CASE(an_entry_prefers_a_few_servers_of_its_failure_domain_until_they_are_busy)
 {
     MetricRegistry metrics;
     std::vector<BackendServer> servers;
@@ -117,7 +115,7 @@
         servers.push_back(server(std::to_string(i)));
         servers.back().failureDomain = i % 3 == 0 ? "apapa" : "onne";
     }
-    std::map<std::string, int> entriesOf;
+    std::map<std::string, int> entriesPerServer;
     for (int entry = 0; entry < 40; ++entry) {
         BackendPool pool("entry-" + std::to_string(entry), "apapa", metrics);
         pool.setList(list(1, 1, servers));
@@ -125,27 +123,27 @@
         for (int i = 0; i < 6; ++i) {
             const auto backend = pool.pick({"engines", 0, {}}, now);
             BOOST_TEST(backend->server().failureDomain == "apapa");
-            ++entriesOf[backend->server().id];
+            ++entriesPerServer[backend->server().id];
             backend->report(8, 0, now);
             preferred.insert(backend->server().id);
         }
         BOOST_TEST(preferred.size() == 6U);
-        // With all of them busy, others take requests.
+        // With all preferred servers busy, others get requests.
         std::set<std::string> others;
         for (int i = 0; i < 200; ++i) {
             others.insert(pool.pick({"engines", 0, {}}, now)->server().id);
         }
         BOOST_TEST(others.size() > 1U);
     }
-    BOOST_TEST(entriesOf.size() == 10U);
-    for (const auto &[id, entries] : entriesOf) {
+    BOOST_TEST(entriesPerServer.size() == 10U);
+    for (const auto &[id, entries] : entriesPerServer) {
         BOOST_TEST(entries >= 12);
         BOOST_TEST(entries <= 36);
     }
 }
 
-// A server goes down without a word. Each entry keeps some connections to it, and each took a request and lost it.
-BOOST_AUTO_TEST_CASE(a_server_that_loses_requests_has_its_connections_dropped_and_is_left_out)
+// Guards against a crashed server that loses one request per idle connection.
+BOOST_AUTO_TEST_CASE(consecutive_failures_close_idle_connections_and_eject_the_server)
 {
     MetricRegistry metrics;
     boost::asio::io_context io;
@@ -153,23 +151,22 @@
     pool.setList(list(1, 1, {server("a"), server("b"), server("c")}));
     const auto backend = pool.pick({"engines", 0, {"b", "c"}}, now);
     const auto connection = std::make_shared<BackendConnection>(boost::beast::tcp_stream(io));
-    connection->keptUntil = now + Milliseconds(1000);
-    pool.keep(*backend, connection, now);
-    pool.noteLost(*backend, now);
-    BOOST_TEST((pool.takeKept(*backend, now) == nullptr));
+    connection->reusableUntil = now + Milliseconds(1000);
+    pool.release(*backend, connection, now);
+    pool.recordFailure(*backend, now);
+    BOOST_TEST((pool.takeIdle(*backend, now) == nullptr));
     BOOST_TEST(connection.use_count() == 1);
-    BOOST_TEST(!backend->isAvoided(now));
-    backend->noteAnswer();
-    pool.noteLost(*backend, now);
-    BOOST_TEST(!backend->isAvoided(now));
-    pool.noteLost(*backend, now);
-    BOOST_TEST(backend->isAvoided(now));
+    BOOST_TEST(!backend->isEjected(now));
+    backend->recordSuccess();
+    pool.recordFailure(*backend, now);
+    BOOST_TEST(!backend->isEjected(now));
+    pool.recordFailure(*backend, now);
+    BOOST_TEST(backend->isEjected(now));
     BOOST_TEST(!picked(pool).contains("a"));
 }
 
-// Five of ten servers lost a few answers each and were left out, and the other five broke down under the whole load
-// (gatewise-dss scale-2: failed programs 30 to 142 of 1,741).
-BOOST_AUTO_TEST_CASE(only_some_of_a_services_servers_are_left_out_at_once)
+// Guards against ejecting so many servers that the others are overloaded.
+BOOST_AUTO_TEST_CASE(only_a_share_of_a_services_servers_is_ejected_at_once)
 {
     MetricRegistry metrics;
     BackendPool pool("entry", "apapa", metrics);
@@ -178,54 +175,54 @@
         servers.push_back(server(std::to_string(i)));
     }
     pool.setList(list(1, 1, servers));
-    int avoided = 0;
+    int ejected = 0;
     for (const BackendServer &item : servers) {
         const auto backend = pool.find(item.id, now);
-        pool.noteLost(*backend, now);
-        pool.noteLost(*backend, now);
-        avoided += backend->isAvoided(now) ? 1 : 0;
+        pool.recordFailure(*backend, now);
+        pool.recordFailure(*backend, now);
+        ejected += backend->isEjected(now) ? 1 : 0;
     }
-    BOOST_TEST(avoided == 4);
+    BOOST_TEST(ejected == 4);
 }
 
-// A server crashes and starts again under its id, and the list that an entry gets next is behind once more. The new
-// incarnation is taken at once, whatever the one before had lost, and the older entry does not bring that back.
-BOOST_AUTO_TEST_CASE(a_server_that_started_again_under_its_id_is_taken_as_a_new_one)
+// Guards against state of a previous incarnation being applied to a restarted server, also by a list that is behind.
+BOOST_AUTO_TEST_CASE(a_restarted_server_replaces_its_previous_incarnation)
 {
     boost::asio::io_context io;
     MetricRegistry metrics;
     BackendPool pool("entry", "apapa", metrics);
-    BackendServer before = server("s1");
-    before.incarnation = 1000;
-    BackendServer after = before;
-    after.incarnation = 2000;
-    pool.setList(list(1, 1, {before}));
-    const auto old = pool.find("s1", now);
-    BOOST_REQUIRE(old);
-    old->avoid(now + std::chrono::hours(1));
+    BackendServer previousIncarnation = server("s1");
+    previousIncarnation.incarnation = 1000;
+    BackendServer newIncarnation = previousIncarnation;
+    newIncarnation.incarnation = 2000;
+    pool.setList(list(1, 1, {previousIncarnation}));
+    const auto oldState = pool.find("s1", now);
+    BOOST_REQUIRE(oldState);
+    oldState->ejectUntil(now + std::chrono::hours(1));
     BOOST_TEST(!pool.find("s1", now));
 
-    pool.setList(list(1, 2, {after}));
-    const auto fresh = pool.find("s1", now);
-    BOOST_REQUIRE(fresh);
-    BOOST_TEST(fresh != old);
-    BOOST_TEST(old->server().isLeaving);
+    pool.setList(list(1, 2, {newIncarnation}));
+    const auto newState = pool.find("s1", now);
+    BOOST_REQUIRE(newState);
+    BOOST_TEST(newState != oldState);
+    BOOST_TEST(oldState->server().isLeaving);
 
-    pool.setList(list(1, 3, {before}));
-    BOOST_TEST(pool.find("s1", now) == fresh);
+    pool.setList(list(1, 3, {previousIncarnation}));
+    BOOST_TEST(pool.find("s1", now) == newState);
     BOOST_TEST((picked(pool) == std::set<std::string> {"s1"}));
 }
 
-BOOST_AUTO_TEST_CASE(of_two_incarnations_in_one_list_the_later_one_counts)
+BOOST_AUTO_TEST_CASE(the_later_of_two_incarnations_in_a_list_is_kept)
 {
-    BackendServer before = server("s1", true);
-    before.incarnation = 1000;
-    BackendServer after = server("s1");
-    after.incarnation = 2000;
-    for (const auto &servers : {std::vector {before, after}, std::vector {after, before}}) {
-        const std::vector<BackendServer> kept = latestIncarnations(servers);
-        BOOST_REQUIRE(kept.size() == 1U);
-        BOOST_TEST(kept.front().incarnation == 2000U);
+    BackendServer previousIncarnation = server("s1", true);
+    previousIncarnation.incarnation = 1000;
+    BackendServer newIncarnation = server("s1");
+    newIncarnation.incarnation = 2000;
+    for (const auto &servers :
+         {std::vector {previousIncarnation, newIncarnation}, std::vector {newIncarnation, previousIncarnation}}) {
+        const std::vector<BackendServer> latest = latestIncarnations(servers);
+        BOOST_REQUIRE(latest.size() == 1U);
+        BOOST_TEST(latest.front().incarnation == 2000U);
     }
 }
 
--- a/tools/gateway_ablation.py
+++ b/tools/gateway_ablation.py
@@ -26,15 +26,15 @@
         "src/gateway/cp_gateway_settings.cpp", "defaultLifetimeDarkMs = 3000", "defaultLifetimeDarkMs = 300"),
     "silence of entries out of their own pattern": (
         "src/gateway/cp_presence_table.hpp", "Milliseconds(250), Milliseconds(900)", "Milliseconds(900), Milliseconds(900)"),
-    "mute servers are left out": (FORWARDER, "mute {900}", "mute {900'000}"),
+    "mute servers are left out": (FORWARDER, "unresponsiveAfter {900}", "unresponsiveAfter {900'000}"),
     "the leader places turns": (FORWARDER, "if (request.begin && request.tried.empty()) {", "if (false) {"),
     "programs stay with their engine": (PLACEMENT, "shareToLeave = 2.5", "shareToLeave = 0.0"),
     "new programs wait for a place": (PLACEMENT, "newShare = 1.1", "newShare = 1000"),
     "overdue reads go elsewhere": (
-        FORWARDER, "    const Repeats *repeats = repeatsOf(request);\n    const bool mayGoElsewhere",
-        "    const Repeats *repeats = nullptr;\n    const bool mayGoElsewhere"),
+        FORWARDER, "    const RetryState *retryState = retryStateFor(request);\n    const bool canRetryElsewhere",
+        "    const RetryState *retryState = nullptr;\n    const bool canRetryElsewhere"),
     "entries keep to near servers": (POOL, "preferredServers = 6", "preferredServers = 0"),
-    "servers that lose requests are left out": (POOL, "lostUntilLeftOut = 2", "lostUntilLeftOut = 1'000'000"),
+    "servers that lose requests are left out": (POOL, "failuresUntilEjection = 2", "failuresUntilEjection = 1'000'000"),
 }
 
 
