--- a/src/gateway/cp_forwarder.hpp
+++ b/src/gateway/cp_forwarder.hpp
@@ -64,6 +64,7 @@
     [[nodiscard]] PlacementRequest placementRequestFor(const ForwardedRequest &request) const;
     //! The next server to try; null if there is none or the deadline has passed.
     [[nodiscard]] std::shared_ptr<BackendState> chooseBackend(ForwardedRequest &request);
+    //! Waits for admission of a turn, or refuses it. \returns true if the request may be forwarded
     boost::asio::awaitable<bool> beginTurn(ForwardedRequest &request);
     boost::asio::awaitable<void> tryBackends(ForwardedRequest &request);
     boost::asio::awaitable<std::shared_ptr<BackendConnection>> connect(ForwardedRequest &request,
@@ -74,6 +75,8 @@
     boost::asio::awaitable<void> refuse(ForwardedRequest &request, LocalResponse refusal);
     void recordLostRequest(BackendState &backend, const ForwardedRequest &request);
     void recordResponse(const ForwardedRequest &request, ExchangeEnd end, std::optional<Milliseconds> time);
+    //! Evaluates an attempt, and sends the final response unless another one follows.
+    //! \returns true if the request should be tried again
     boost::asio::awaitable<bool> retryOrFinish(ForwardedRequest &request, ExchangeEnd end, const std::string &backend);
     void finishTurn(ForwardedRequest &request);
 
