--- a/include/cardamompost/liveness/cp_silence_detector.hpp
+++ b/include/cardamompost/liveness/cp_silence_detector.hpp
@@ -6,20 +6,18 @@
 namespace cardamompost
 {
 
-//! Between which times a silence becomes suspicious.
+//! Bounds of the suspicion timeout.
 struct SuspicionBounds {
-    //! No shorter silence is suspicious, however dense the contacts are.
+    //! Smallest timeout, however frequent the contacts are.
     Milliseconds floor {0};
-    //! Any longer one is, and every one as long as nothing is known.
+    //! Largest timeout, and the timeout before the first contact.
     Milliseconds ceiling {0};
 };
 
-//! How long somebody who is heard from again and again may be silent before that says something, from what was
-//! observed of them.
+//! Adaptive failure detector for a peer that is contacted regularly.
 //!
-//! Keeps the longest gap between two contacts, which fades by half within some seconds. A silence that exceeds it
-//! clearly is out of the pattern. The longest and not the mean decides: a VM whose share of a processor is used up
-//! stands still for most of a tenth of a second now and then, and packets that were lost come a fifth of a second late.
+//! The suspicion timeout is a multiple of the longest observed gap between two contacts, which decays over time. The
+//! longest gap is used instead of the mean, since CPU throttling and packet retransmissions cause rare but long gaps.
 //! Thread-safety: none. Time is an argument.
 class SilenceDetector
 {
@@ -29,18 +27,18 @@
     {
     }
 
-    //! They were heard from.
+    //! Records a contact.
     void observe(TimePoint now);
-    //! What was known is of somebody else; a silence that has begun counts from now.
+    //! Discards the observed gaps, for a different peer; the silence counts from now.
     void restart(TimePoint now);
-    //! The silence from which on they are suspect.
+    //! Silence after which the peer is suspected to have failed.
     [[nodiscard]] Milliseconds suspicionTimeout() const;
 
 private:
     SuspicionBounds bounds_;
-    TimePoint last_ {};
-    double longestMs_ = 0;
-    bool isKnown_ = false;
+    TimePoint lastContact_ {};
+    double longestGapMs_ = 0;
+    bool hasContact_ = false;
 };
 
 } // namespace cardamompost
--- a/src/cardamompost/liveness/cp_silence_detector.cpp
+++ b/src/cardamompost/liveness/cp_silence_detector.cpp
@@ -9,36 +9,36 @@
 namespace
 {
 
-// The longest gap is worth half after this, so that one bad moment does not slow the next notice for minutes.
+// Half-life of the longest gap, so that a single long pause does not delay later detections.
 constexpr double halfLifeMs = 10'000;
-// A silence is suspicious from so many times the longest gap on.
+// Ratio of the suspicion timeout to the longest gap.
 constexpr double margin = 1.5;
 
 } // namespace
 
 void SilenceDetector::observe(TimePoint now)
 {
-    if (isKnown_) {
-        const double gapMs = std::chrono::duration<double, std::milli>(now - last_).count();
-        longestMs_ = std::max(gapMs, longestMs_ * std::exp2(-gapMs / halfLifeMs));
+    if (hasContact_) {
+        const double gapMs = std::chrono::duration<double, std::milli>(now - lastContact_).count();
+        longestGapMs_ = std::max(gapMs, longestGapMs_ * std::exp2(-gapMs / halfLifeMs));
     }
-    isKnown_ = true;
-    last_ = now;
+    hasContact_ = true;
+    lastContact_ = now;
 }
 
 void SilenceDetector::restart(TimePoint now)
 {
-    longestMs_ = 0;
-    isKnown_ = true;
-    last_ = now;
+    longestGapMs_ = 0;
+    hasContact_ = true;
+    lastContact_ = now;
 }
 
 Milliseconds SilenceDetector::suspicionTimeout() const
 {
-    if (!isKnown_) {
+    if (!hasContact_) {
         return bounds_.ceiling;
     }
-    const Milliseconds usual(static_cast<std::int64_t>(longestMs_ * margin));
+    const Milliseconds usual(static_cast<std::int64_t>(longestGapMs_ * margin));
     return std::clamp(usual, std::min(bounds_.floor, bounds_.ceiling), bounds_.ceiling);
 }
 
--- a/tests/liveness/cp_silence_detector.tests.cpp
+++ b/tests/liveness/cp_silence_detector.tests.cpp
@@ -9,62 +9,61 @@
 
 constexpr SuspicionBounds bounds {Milliseconds(100), Milliseconds(300)};
 
-//! Hears somebody at a steady pace. \returns the time of the last contact
-TimePoint hearFor(SilenceDetector &gaps, TimePoint from, Milliseconds pace, int times)
+//! Records contacts at a regular interval. \returns the time of the last one
+TimePoint observeContacts(SilenceDetector &detector, TimePoint from, Milliseconds interval, int times)
 {
     for (int i = 0; i < times; ++i) {
-        gaps.observe(from);
-        from += pace;
+        detector.observe(from);
+        from += interval;
     }
-    return from - pace;
+    return from - interval;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(contact_gaps)
+BOOST_AUTO_TEST_SUITE(silence_detector)
 
-BOOST_AUTO_TEST_CASE(nothing_known_means_the_longest_patience)
+BOOST_AUTO_TEST_CASE(the_timeout_is_the_ceiling_before_the_first_contact)
 {
     BOOST_TEST(SilenceDetector(bounds).suspicionTimeout().count() == 300);
 }
 
-BOOST_AUTO_TEST_CASE(dense_contacts_lead_to_the_floor_and_no_further)
+BOOST_AUTO_TEST_CASE(frequent_contacts_reduce_the_timeout_to_the_floor)
 {
-    SilenceDetector gaps(bounds);
-    hearFor(gaps, TimePoint {}, Milliseconds(30), 10);
-    BOOST_TEST(gaps.suspicionTimeout().count() == 100);
+    SilenceDetector detector(bounds);
+    observeContacts(detector, TimePoint {}, Milliseconds(30), 10);
+    BOOST_TEST(detector.suspicionTimeout().count() == 100);
 }
 
-// A leader's VM has used up its share of a processor and stands still for 90 ms, again and again. Followers that hold
-// elections in each of these pauses would stop all turns for a moment every time.
-BOOST_AUTO_TEST_CASE(pauses_that_come_again_and_again_are_learnt)
+// Guards against a false suspicion at each regular pause, such as those of a throttled CPU.
+BOOST_AUTO_TEST_CASE(regular_pauses_extend_the_timeout)
 {
-    SilenceDetector gaps(bounds);
-    TimePoint now = hearFor(gaps, TimePoint {}, Milliseconds(30), 10);
-    gaps.observe(now += Milliseconds(90));
-    BOOST_TEST(gaps.suspicionTimeout().count() == 135);
-    hearFor(gaps, now + Milliseconds(30), Milliseconds(30), 30);
-    BOOST_TEST(gaps.suspicionTimeout().count() > 120);
+    SilenceDetector detector(bounds);
+    TimePoint now = observeContacts(detector, TimePoint {}, Milliseconds(30), 10);
+    detector.observe(now += Milliseconds(90));
+    BOOST_TEST(detector.suspicionTimeout().count() == 135);
+    observeContacts(detector, now + Milliseconds(30), Milliseconds(30), 30);
+    BOOST_TEST(detector.suspicionTimeout().count() > 120);
 }
 
-BOOST_AUTO_TEST_CASE(one_long_pause_is_forgotten_after_a_while)
+BOOST_AUTO_TEST_CASE(the_effect_of_a_single_long_pause_decays)
 {
-    SilenceDetector gaps(bounds);
-    TimePoint now = hearFor(gaps, TimePoint {}, Milliseconds(30), 10);
+    SilenceDetector detector(bounds);
+    TimePoint now = observeContacts(detector, TimePoint {}, Milliseconds(30), 10);
     now += Milliseconds(2000);
-    gaps.observe(now);
-    BOOST_TEST(gaps.suspicionTimeout().count() == 300);
-    hearFor(gaps, now, Milliseconds(30), 3000);
-    BOOST_TEST(gaps.suspicionTimeout().count() == 100);
+    detector.observe(now);
+    BOOST_TEST(detector.suspicionTimeout().count() == 300);
+    observeContacts(detector, now, Milliseconds(30), 3000);
+    BOOST_TEST(detector.suspicionTimeout().count() == 100);
 }
 
-BOOST_AUTO_TEST_CASE(another_one_starts_from_the_floor)
+BOOST_AUTO_TEST_CASE(a_restart_for_another_peer_resets_the_timeout_to_the_floor)
 {
-    SilenceDetector gaps(bounds);
-    const TimePoint now = hearFor(gaps, TimePoint {}, Milliseconds(200), 3);
-    BOOST_TEST(gaps.suspicionTimeout().count() == 300);
-    gaps.restart(now);
-    BOOST_TEST(gaps.suspicionTimeout().count() == 100);
+    SilenceDetector detector(bounds);
+    const TimePoint now = observeContacts(detector, TimePoint {}, Milliseconds(200), 3);
+    BOOST_TEST(detector.suspicionTimeout().count() == 300);
+    detector.restart(now);
+    BOOST_TEST(detector.suspicionTimeout().count() == 100);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
