--- a/include/cardamompost/storage/cp_ifiles.hpp
+++ b/include/cardamompost/storage/cp_ifiles.hpp
@@ -9,30 +9,30 @@
 namespace cardamompost
 {
 
-//! One file that grows at its end. What was appended lasts only once sync() has succeeded.
+//! An append-only file. Appended data is durable once sync() has succeeded.
 class IFile
 {
 public:
     virtual ~IFile() = default;
 
-    //! Errors: StorageFailed, after which the file's unsynced part is undefined.
+    //! Errors: StorageFailed, after which the unsynced part of the file is undefined.
     virtual Result<void> append(std::string_view bytes) = 0;
-    //! Errors: StorageFailed. It must not be tried again: the pages that failed may count as clean since.
+    //! Errors: StorageFailed. A failed sync must not be retried: the kernel may have marked the failed pages as clean.
     virtual Result<void> sync() = 0;
-    //! Exactly length bytes. Errors: StorageFailed, also for a range beyond the end.
+    //! Reads exactly length bytes. Errors: StorageFailed, also for a range beyond the end.
     virtual Result<std::string> readAt(std::uint64_t offset, std::size_t length) = 0;
     virtual Result<void> truncate(std::uint64_t size) = 0;
     [[nodiscard]] virtual std::uint64_t size() const = 0;
 };
 
-//! The files of one folder.
+//! The files of a folder.
 class IFiles
 {
 public:
     virtual ~IFiles() = default;
 
     [[nodiscard]] virtual Result<std::vector<std::string>> list() = 0;
-    //! Opens a file, created when it is not there; its name lasts once syncFolder() has succeeded.
+    //! Opens a file, or creates it; a created file is durable once syncFolder() has succeeded.
     [[nodiscard]] virtual Result<std::unique_ptr<IFile>> open(const std::string &name) = 0;
     virtual Result<void> remove(const std::string &name) = 0;
     virtual Result<void> syncFolder() = 0;
--- a/include/cardamompost/storage/cp_log_batch.hpp
+++ b/include/cardamompost/storage/cp_log_batch.hpp
@@ -9,15 +9,15 @@
 namespace cardamompost
 {
 
-//! Number of a replicated log within a store: 0 for the control log, partition + 1 for a journal.
+//! Identifies a replicated log within a store: 0 for the control log, partition + 1 for a journal.
 using GroupId = std::uint32_t;
 
 inline constexpr GroupId controlGroup = 0;
 
-//! What turns said, beside the ledger's log: entries with holes, each by itself. No partition has this number.
+//! Texts of turns, stored as unordered entries beside the log of the ledger. Reserved: no partition has this number.
 inline constexpr GroupId textGroup = 0xffff'ffff;
 
-//! The way to the ledger's group, as one snapshot. No partition has this number.
+//! Cached membership of the ledger's group, as one snapshot. Reserved: no partition has this number.
 inline constexpr GroupId membershipCacheGroup = 0xffff'fffe;
 
 [[nodiscard]] constexpr GroupId journalGroup(PartitionId partition)
@@ -25,20 +25,19 @@
     return partition + 1;
 }
 
-//! What one record of a store says.
+//! Type of a record in a store.
 enum class RecordType : std::uint8_t {
     HardState = 1,
-    //! Voids the entries of its group from its index on.
+    //! Replaces the entries of its group from its index on.
     Entry = 2,
-    //! An entry copied from a segment that is to be removed, or one of a group whose entries stand by themselves;
-    //! voids nothing but an older one of its index.
+    //! An entry copied by segment cleaning, or an unordered entry; replaces only an entry with the same index.
     MovedEntry = 3,
     Snapshot = 4,
-    //! Entries that are not needed any more, without those that follow them.
+    //! Deletes single entries; later entries stay.
     Forget = 5,
 };
 
-//! Changes that become durable together, in one sync.
+//! Changes that are written and synced together.
 class LogBatch
 {
 public:
@@ -53,7 +52,7 @@
 
     void putHardState(GroupId group, const RaftHardState &state);
     void putEntry(GroupId group, const LogEntry &entry);
-    //! An entry that voids no others, for groups whose entries stand by themselves.
+    //! Adds an entry that replaces no later ones, for groups whose entries are independent of each other.
     void putUnorderedEntry(GroupId group, LogIndex index, std::string payload);
     void putSnapshot(GroupId group, const RaftSnapshot &snapshot);
     void forget(GroupId group, const std::vector<LogIndex> &indexes);
@@ -70,12 +69,12 @@
     {
         records_.push_back(std::move(record));
     }
-    //! What it holds, in order; it is empty afterwards.
+    //! Removes and returns the records, in order.
     [[nodiscard]] std::vector<Record> takeRecords()
     {
         return std::exchange(records_, {});
     }
-    //! Takes over what another batch holds.
+    //! Moves the records of another batch to the end of this one.
     void append(LogBatch &&other)
     {
         for (Record &record : other.records_) {
@@ -88,13 +87,14 @@
     std::vector<Record> records_;
 };
 
-//! A batch's records in order, in batches that are done once they hold so many bytes; one empty batch for none.
+//! Splits a batch, in order, into parts of at least partBytes of payload each except the last; one empty part for an
+//! empty batch.
 [[nodiscard]] std::deque<LogBatch> splitBatch(LogBatch &&whole, std::size_t partBytes);
 
-//! The indexes that a Forget record's payload holds; nothing for a payload of another form.
+//! Parses the payload of a Forget record; empty for a malformed payload.
 [[nodiscard]] std::optional<std::vector<LogIndex>> decodeIndexes(std::string_view payload);
 
-//! The snapshot of a Snapshot record; nothing for a payload of another form.
+//! Parses a Snapshot record; empty for a malformed payload.
 [[nodiscard]] std::optional<RaftSnapshot> decodeSnapshot(const LogBatch::Record &record);
 
 } // namespace cardamompost
--- a/include/cardamompost/storage/cp_log_store.hpp
+++ b/include/cardamompost/storage/cp_log_store.hpp
@@ -9,14 +9,14 @@
 namespace cardamompost
 {
 
-//! Sizes of a store.
+//! Limits of a store.
 struct LogStoreOptions {
     std::uint64_t segmentBytes = 16U << 20U;
-    //! The oldest segment is cleaned once less than this share of all bytes is still needed, 0 to 1.
+    //! The oldest segment is cleaned when the share of live bytes in the store falls below this, 0 to 1.
     double cleanBelowLiveShare = 0.5;
 };
 
-//! Where an entry's payload lies.
+//! Location and metadata of a stored entry.
 struct StoredEntry {
     LogIndex index = 0;
     Term term = 0;
@@ -26,7 +26,7 @@
     std::uint64_t offset = 0;
 };
 
-//! What a store knows of one group. Entries are ordered by index; those that were forgotten leave holes.
+//! Index of a group's records. Entries are ordered by index; deleted entries leave gaps.
 struct StoredGroup {
     RaftHardState hard;
     LogIndex snapshotIndex = 0;
@@ -41,44 +41,46 @@
     {
         return entries.empty() ? snapshotTerm : entries.back().term;
     }
-    //! The entry at an index; null for a hole or beyond the end.
+    //! The entry at an index; null for a deleted entry or beyond the end.
     [[nodiscard]] const StoredEntry *find(LogIndex index) const;
     //! The last entry below an index; null when there is none.
     [[nodiscard]] const StoredEntry *findBelow(LogIndex index) const;
 
 private:
     friend class LogStore;
-    std::uint64_t hardSegment_ = 0;
-    StoredEntry snapshotAt_;
+    std::uint64_t hardStateSegment_ = 0;
+    StoredEntry snapshotEntry_;
 };
 
-//! Many replicated logs in one sequence of segment files, so that one sync serves them all.
+//! Write-ahead log for several replicated logs in one sequence of segment files, so that they share syncs.
 //!
-//! A record carries a checksum, the number of its batch and whether it ends it. A batch is written only after the
-//! one before it is synced; so at opening, a broken record with nothing of a later batch behind it is the torn
-//! tail of a batch that nobody was told of, and is cut off. Any other broken record is damage to synced data:
-//! the store refuses to open, since a keeper without an entry it once confirmed must be repaired from others.
-//! After a failed write or sync the store fails every further one until it is opened anew.
-//! Thread-safety: none; one thread owns it.
+//! Each record has a checksum, the number of its batch and a flag on the last record of a batch. A batch is written
+//! only after the previous one is synced. On open, a damaged record without a later batch behind it is therefore a torn
+//! write that was never acknowledged, and is truncated. Any other damaged record is corruption of synced data, and
+//! open() fails: a member that lacks acknowledged entries has to be restored from the other members.
+//!
+//! After a failed write or sync, all further writes fail until the store is reopened.
+//!
+//! Thread-safety: none; to be used from one thread.
 class LogStore
 {
 public:
-    //! Errors: StorageFailed; StorageCorrupt with the file and offset.
+    //! Errors: StorageFailed; StorageCorrupt, with the file and the offset if known.
     [[nodiscard]] static Result<LogStore> open(IFiles &files, LogStoreOptions options = {});
 
-    //! Appends and syncs. Errors: StorageFailed, after which nothing more is accepted.
+    //! Appends and syncs a batch. Errors: StorageFailed, after which every further write fails.
     Result<void> write(const LogBatch &batch);
 
-    //! The group, empty when nothing was ever stored for it.
+    //! The index of a group; empty for an unknown group.
     [[nodiscard]] const StoredGroup &group(GroupId id) const;
     [[nodiscard]] Result<LogEntry> read(GroupId id, const StoredEntry &entry);
-    //! All that a consensus member needs to start. Errors: StorageFailed.
+    //! Loads the state that a RaftNode starts from. Errors: StorageFailed, StorageCorrupt.
     [[nodiscard]] Result<RaftStoredState> loadRaft(GroupId id);
 
-    //! Moves what is still needed out of the oldest segment and removes it, if the options ask for it.
+    //! Copies the live records out of the oldest segment and removes it, if too few bytes of the store are live.
     Result<void> clean();
 
-    //! True when nothing was ever stored.
+    //! True when the store holds no records.
     [[nodiscard]] bool isEmpty() const
     {
         return groups_.empty();
@@ -100,24 +102,24 @@
 
     Result<void> openSegments();
     Result<void> replay(std::uint64_t number, bool isLast);
-    Result<void> handleBroken(std::uint64_t number, const std::string &bytes, std::uint64_t offset, bool isLast);
+    Result<void> handleDamagedRecord(std::uint64_t number, const std::string &bytes, std::uint64_t offset, bool isLast);
     Result<void> addSegment();
     Result<void> writeRecords(const std::vector<LogBatch::Record> &records);
     void apply(const LogBatch::Record &record, std::uint64_t segment, std::uint64_t offset);
     void applyEntry(StoredGroup &group, const StoredEntry &entry, bool isMoved);
     void applySnapshot(StoredGroup &group, const StoredEntry &entry);
     void applyForget(StoredGroup &group, const LogBatch::Record &record);
-    void addLive(std::uint64_t segment, std::uint64_t bytes);
-    void dropLive(const StoredEntry &entry);
+    void addLiveBytes(std::uint64_t segment, std::uint64_t bytes);
+    void subtractLiveBytes(const StoredEntry &entry);
     [[nodiscard]] std::string fileName(std::uint64_t number) const;
-    Result<void> collectMoves(std::uint64_t segment, LogBatch &moves);
+    Result<void> collectLiveRecords(std::uint64_t segment, LogBatch &moves);
 
     IFiles *files_;
     LogStoreOptions options_;
     std::map<std::uint64_t, Segment> segments_;
     std::map<GroupId, StoredGroup> groups_;
     std::uint64_t lastBatch_ = 0;
-    bool lastBatchEnded_ = true;
+    bool isLastBatchComplete_ = true;
     bool hasFailed_ = false;
 };
 
--- a/include/cardamompost/storage/cp_posix_files.hpp
+++ b/include/cardamompost/storage/cp_posix_files.hpp
@@ -6,12 +6,12 @@
 namespace cardamompost
 {
 
-//! Files of a folder of the machine.
+//! Files of a folder in the file system, locked against other processes.
 class PosixFiles : public IFiles
 {
 public:
-    //! \param syncWrites  false makes sync() do nothing; only for telling its cost apart in a benchmark
-    //! Errors: StorageFailed when the folder can't be made, or another process uses it.
+    //! \param syncWrites  false disables syncs, for benchmarks only
+    //! Errors: StorageFailed when the folder can't be created or is locked by another process.
     [[nodiscard]] static Result<std::unique_ptr<PosixFiles>> openFolder(const std::string &folder,
                                                                         bool syncWrites = true);
     ~PosixFiles() override;
--- a/src/cardamompost/storage/cp_log_record.cpp
+++ b/src/cardamompost/storage/cp_log_record.cpp
@@ -14,7 +14,7 @@
 
 std::uint32_t checksumOf(std::string_view record)
 {
-    // The length lies before the checksum and is mixed in as the seed, so a wrong length can't pass.
+    // The length precedes the checksum; used as the seed, it is covered too.
     std::uint32_t length = 0;
     std::memcpy(&length, record.data(), sizeof(length));
     const std::string_view covered = record.substr(checksumEnd);
--- a/src/cardamompost/storage/cp_log_record.hpp
+++ b/src/cardamompost/storage/cp_log_record.hpp
@@ -6,17 +6,17 @@
 namespace cardamompost
 {
 
-//! Start of a segment file.
+//! Header of a segment file.
 struct SegmentHeader {
     std::uint64_t magic = 0;
     std::uint32_t version = 0;
     std::uint32_t reserved = 0;
 };
 
-//! Fixed part of a record on disk, little-endian as on every supported machine; the payload follows.
+//! Header of a record on disk, in little-endian byte order; the payload follows.
 struct RecordHeader {
     std::uint32_t length = 0;
-    //! Of the rest of the header and the payload.
+    //! Covers the rest of the header and the payload, seeded with the length.
     std::uint32_t checksum = 0;
     std::uint64_t batch = 0;
     std::uint64_t index = 0;
@@ -35,16 +35,16 @@
 inline constexpr std::uint32_t segmentVersion = 1;
 inline constexpr std::uint32_t maxRecordBytes = 256U << 20U;
 
-//! Adds a record's bytes to a buffer.
+//! Appends an encoded record to a buffer.
 void encodeRecord(const LogBatch::Record &record, std::uint64_t batch, bool endsBatch, std::string &out);
 
-//! A record found in a segment's bytes.
+//! A record decoded from a segment.
 struct DecodedRecord {
     RecordHeader header;
     LogBatch::Record record;
 };
 
-//! The record at an offset; nothing when its length, type or checksum is wrong.
+//! Decodes the record at an offset; empty when its length, type or checksum is invalid.
 [[nodiscard]] std::optional<DecodedRecord> decodeRecord(std::string_view bytes, std::size_t offset);
 
 } // namespace cardamompost
--- a/src/cardamompost/storage/cp_log_store.cpp
+++ b/src/cardamompost/storage/cp_log_store.cpp
@@ -47,13 +47,13 @@
     return header.magic == segmentMagic && header.version == segmentVersion;
 }
 
-// True when a whole record of a later batch than the limit stands anywhere behind an offset.
+// True when a valid record of a batch later than the limit is found at or after an offset.
 bool hasRecordAfterBatch(std::string_view bytes, std::size_t offset, std::uint64_t batchLimit)
 {
     for (std::size_t at = offset; at + sizeof(RecordHeader) <= bytes.size(); ++at) {
         std::uint64_t batch = 0;
         std::memcpy(&batch, bytes.data() + at + offsetof(RecordHeader, batch), sizeof(batch));
-        // Reading the number first keeps the scan cheap: few places pass and need their checksum computed.
+        // The batch number is checked first, so that a checksum is computed at few offsets only.
         if (batch > batchLimit && batch < batchLimit + (1ULL << 32U) && decodeRecord(bytes, at)) {
             return true;
         }
@@ -109,14 +109,13 @@
     for (const std::uint64_t number : numbers) {
         BOOST_OUTCOME_TRYV(replay(number, number == numbers.back()));
     }
-    // Guards against a process that died between a write and its sync: what it wrote is read here as if it lasted. It
-    // has to, before anything is built on it; otherwise a later loss of power leaves a hole below synced entries.
+    // A process that was killed between a write and its sync leaves unsynced records that are replayed here. They are
+    // synced before later ones are written; otherwise a power loss could drop them and keep the later ones.
     if (!segments_.empty()) {
         BOOST_OUTCOME_TRYV(segments_.rbegin()->second.file->sync());
         BOOST_OUTCOME_TRYV(files_->syncFolder());
     }
-    // Writing always goes on in a new segment: the old tail was synced by another process, and mixing its
-    // pages with new ones would make a torn tail harder to tell from damage.
+    // New batches go to a new segment, so that a torn write is never in the same segment as records of an earlier run.
     return addSegment();
 }
 
@@ -125,41 +124,45 @@
     IFile &file = *segments_.at(number).file;
     BOOST_OUTCOME_TRY(const std::string bytes, file.readAt(0, file.size()));
     if (!hasValidHeader(bytes)) {
-        // The header is synced before any batch, so without one there can only be a segment that was being added.
+        // The header is synced before any batch, so a last segment without one was still being created.
         if (isLast && !hasRecordAfterBatch(bytes, 0, lastBatch_)) {
             segments_.erase(number);
             return files_->remove(fileName(number));
         }
-        return makeError(ErrorKind::StorageCorrupt,
-                         fmt::format("{}: the header is damaged or of another version", fileName(number)));
+        return makeError(
+            ErrorKind::StorageCorrupt,
+            fmt::format("{}: the segment header is damaged or has an unsupported version", fileName(number)));
     }
     std::uint64_t offset = sizeof(SegmentHeader);
-    // No batch spans two segments; what stood before a torn tail stays, and the next batch is in a new segment.
-    lastBatchEnded_ = true;
+    // Batches do not span segments; after a torn write, the next batch starts in a new segment.
+    isLastBatchComplete_ = true;
     while (offset < bytes.size()) {
         const auto decoded = decodeRecord(bytes, offset);
         if (!decoded) {
-            return handleBroken(number, bytes, offset, isLast);
+            return handleDamagedRecord(number, bytes, offset, isLast);
         }
-        const bool follows = decoded->header.batch == lastBatch_ + (lastBatchEnded_ ? 1 : 0) || lastBatch_ == 0;
-        if (!follows) {
-            return makeError(ErrorKind::StorageCorrupt,
-                             fmt::format("{}: a batch is missing before offset {}", fileName(number), offset));
+        const bool isConsecutive
+            = decoded->header.batch == lastBatch_ + (isLastBatchComplete_ ? 1 : 0) || lastBatch_ == 0;
+        if (!isConsecutive) {
+            return makeError(
+                ErrorKind::StorageCorrupt,
+                fmt::format("{}: a batch is missing before the record at offset {}", fileName(number), offset));
         }
         apply(decoded->record, number, offset);
         lastBatch_ = decoded->header.batch;
-        lastBatchEnded_ = decoded->header.endsBatch != 0;
+        isLastBatchComplete_ = decoded->header.endsBatch != 0;
         offset += sizeof(RecordHeader) + decoded->header.length;
     }
     return boost::outcome_v2::success();
 }
 
-Result<void> LogStore::handleBroken(std::uint64_t number, const std::string &bytes, std::uint64_t offset, bool isLast)
+Result<void> LogStore::handleDamagedRecord(std::uint64_t number, const std::string &bytes, std::uint64_t offset,
+                                           bool isLast)
 {
-    const std::uint64_t tornBatch = lastBatchEnded_ ? lastBatch_ + 1 : lastBatch_;
+    const std::uint64_t tornBatch = isLastBatchComplete_ ? lastBatch_ + 1 : lastBatch_;
     if (!isLast || hasRecordAfterBatch(bytes, offset, tornBatch)) {
         return makeError(ErrorKind::StorageCorrupt,
-                         fmt::format("{}: the record at offset {} is damaged, and synced data follows it",
+                         fmt::format("{}: the record at offset {} is damaged and is followed by synced records",
                                      fileName(number), offset));
     }
     return segments_.at(number).file->truncate(offset);
@@ -183,11 +186,10 @@
         return boost::outcome_v2::success();
     }
     if (hasFailed_) {
-        return makeError(ErrorKind::StorageFailed, "an earlier write failed; the store must be opened anew");
+        return makeError(ErrorKind::StorageFailed, "an earlier write failed; the store must be reopened");
     }
     Result<void> written = writeRecords(batch.records());
-    // Guards against a sync that fails once and then succeeds although the pages were dropped: whatever was
-    // in flight is unknown, so the store answers nothing more from these files.
+    // After a failed sync the kernel may drop the dirty pages, and the next sync would succeed without them.
     hasFailed_ = written.has_error();
     return written;
 }
@@ -200,7 +202,7 @@
     const std::uint64_t number = segments_.rbegin()->first;
     IFile &file = *segments_.rbegin()->second.file;
     const std::uint64_t start = file.size();
-    // A batch that was cut off at opening may have left its number in use, so numbers only grow.
+    // The number of a truncated batch is not reused, since its first records may remain.
     const std::uint64_t batch = lastBatch_ + 1;
     std::string bytes;
     std::vector<std::uint64_t> offsets;
@@ -211,7 +213,7 @@
     BOOST_OUTCOME_TRYV(file.append(bytes));
     BOOST_OUTCOME_TRYV(file.sync());
     lastBatch_ = batch;
-    lastBatchEnded_ = true;
+    isLastBatchComplete_ = true;
     for (std::size_t i = 0; i < records.size(); ++i) {
         apply(records[i], number, offsets[i]);
     }
@@ -226,7 +228,7 @@
     switch (record.type) {
     case RecordType::HardState:
         group.hard = {record.term, record.payload};
-        group.hardSegment_ = segment;
+        group.hardStateSegment_ = segment;
         break;
     case RecordType::Entry:
     case RecordType::MovedEntry:
@@ -246,17 +248,18 @@
     auto position = std::ranges::lower_bound(group.entries, entry.index, {}, indexOf);
     if (isMoved) {
         if (position != group.entries.end() && position->index == entry.index) {
-            dropLive(*position);
+            subtractLiveBytes(*position);
             *position = entry;
         } else {
             group.entries.insert(position, entry);
         }
     } else {
-        std::for_each(position, group.entries.end(), [this](const StoredEntry &voided) { dropLive(voided); });
+        std::for_each(position, group.entries.end(),
+                      [this](const StoredEntry &replaced) { subtractLiveBytes(replaced); });
         group.entries.erase(position, group.entries.end());
         group.entries.push_back(entry);
     }
-    addLive(entry.segment, bytesOf(entry));
+    addLiveBytes(entry.segment, bytesOf(entry));
 }
 
 void LogStore::applySnapshot(StoredGroup &group, const StoredEntry &entry)
@@ -264,14 +267,15 @@
     if (entry.index < group.snapshotIndex) {
         return;
     }
-    dropLive(group.snapshotAt_);
+    subtractLiveBytes(group.snapshotEntry_);
     const auto firstKept = std::ranges::upper_bound(group.entries, entry.index, {}, indexOf);
-    std::for_each(group.entries.begin(), firstKept, [this](const StoredEntry &voided) { dropLive(voided); });
+    std::for_each(group.entries.begin(), firstKept,
+                  [this](const StoredEntry &replaced) { subtractLiveBytes(replaced); });
     group.entries.erase(group.entries.begin(), firstKept);
     group.snapshotIndex = entry.index;
     group.snapshotTerm = entry.term;
-    group.snapshotAt_ = entry;
-    addLive(entry.segment, bytesOf(entry));
+    group.snapshotEntry_ = entry;
+    addLiveBytes(entry.segment, bytesOf(entry));
 }
 
 void LogStore::applyForget(StoredGroup &group, const LogBatch::Record &record)
@@ -281,29 +285,29 @@
         return;
     }
     std::ranges::sort(indexes);
-    // In one pass: of thousands of indexes, each erased alone would move all entries behind it.
+    // Erased in one pass, since erasing each entry alone would be quadratic.
     const auto begin = std::ranges::lower_bound(group.entries, indexes.front(), {}, indexOf);
     const auto end = std::ranges::upper_bound(begin, group.entries.end(), indexes.back(), {}, indexOf);
     const auto kept = std::remove_if(begin, end, [&](const StoredEntry &entry) {
-        const bool isForgotten = std::ranges::binary_search(indexes, entry.index);
-        if (isForgotten) {
-            dropLive(entry);
+        const bool isDeleted = std::ranges::binary_search(indexes, entry.index);
+        if (isDeleted) {
+            subtractLiveBytes(entry);
         }
-        return isForgotten;
+        return isDeleted;
     });
     group.entries.erase(kept, end);
 }
 
-void LogStore::addLive(std::uint64_t segment, std::uint64_t bytes)
+void LogStore::addLiveBytes(std::uint64_t segment, std::uint64_t bytes)
 {
     segments_.at(segment).liveBytes += bytes;
 }
 
-void LogStore::dropLive(const StoredEntry &entry)
+void LogStore::subtractLiveBytes(const StoredEntry &entry)
 {
     const auto segment = segments_.find(entry.segment);
     if (entry.segment != 0 && segment != segments_.end()) {
-        checkInvariant(segment->second.liveBytes >= bytesOf(entry), "live bytes never go below zero");
+        checkInvariant(segment->second.liveBytes >= bytesOf(entry), "live bytes are never negative");
         segment->second.liveBytes -= bytesOf(entry);
     }
 }
@@ -319,7 +323,7 @@
 {
     const auto segment = segments_.find(entry.segment);
     if (segment == segments_.end()) {
-        return makeError(ErrorKind::StorageFailed, "the entry's segment was removed");
+        return makeError(ErrorKind::StorageFailed, "the segment of the entry was removed");
     }
     BOOST_OUTCOME_TRY(const std::string bytes, segment->second.file->readAt(entry.offset, bytesOf(entry)));
     const auto decoded = decodeRecord(bytes, 0);
@@ -336,11 +340,11 @@
     RaftStoredState state;
     state.hard = stored.hard;
     if (stored.snapshotIndex != 0) {
-        BOOST_OUTCOME_TRY(const LogEntry record, read(id, stored.snapshotAt_));
+        BOOST_OUTCOME_TRY(const LogEntry record, read(id, stored.snapshotEntry_));
         const auto snapshot
             = decodeSnapshot({RecordType::Snapshot, id, record.index, record.term, record.kind, record.payload});
         if (!snapshot) {
-            return makeError(ErrorKind::StorageCorrupt, "a snapshot has an unknown form");
+            return makeError(ErrorKind::StorageCorrupt, "the snapshot is malformed");
         }
         state.snapshot = *snapshot;
     }
@@ -369,14 +373,14 @@
     return live;
 }
 
-Result<void> LogStore::collectMoves(std::uint64_t segment, LogBatch &moves)
+Result<void> LogStore::collectLiveRecords(std::uint64_t segment, LogBatch &moves)
 {
     for (auto &[id, group] : groups_) {
-        if (group.hardSegment_ == segment) {
+        if (group.hardStateSegment_ == segment) {
             moves.putHardState(id, group.hard);
         }
-        if (group.snapshotAt_.segment == segment) {
-            BOOST_OUTCOME_TRY(LogEntry snapshot, read(id, group.snapshotAt_));
+        if (group.snapshotEntry_.segment == segment) {
+            BOOST_OUTCOME_TRY(LogEntry snapshot, read(id, group.snapshotEntry_));
             moves.add(
                 {RecordType::Snapshot, id, snapshot.index, snapshot.term, snapshot.kind, std::move(snapshot.payload)});
         }
@@ -392,18 +396,18 @@
 
 Result<void> LogStore::clean()
 {
-    // Only the oldest segment is ever removed. A Forget record, or an entry that voids others, stands in a later
-    // segment than what it voids; removed in another order, the voided entries would come back at the next opening.
+    // Only the oldest segment is removed: a record that deletes or replaces entries is stored after them, and without
+    // it the next open would restore them.
     const std::uint64_t oldest = segments_.begin()->first;
-    const bool isWorthIt
+    const bool isCleaningDue
         = static_cast<double>(liveBytes()) < options_.cleanBelowLiveShare * static_cast<double>(totalBytes());
-    if (segments_.size() < 2 || !isWorthIt || totalBytes() < options_.segmentBytes) {
+    if (segments_.size() < 2 || !isCleaningDue || totalBytes() < options_.segmentBytes) {
         return boost::outcome_v2::success();
     }
     LogBatch moves;
-    BOOST_OUTCOME_TRYV(collectMoves(oldest, moves));
+    BOOST_OUTCOME_TRYV(collectLiveRecords(oldest, moves));
     BOOST_OUTCOME_TRYV(write(moves));
-    checkInvariant(segments_.at(oldest).liveBytes == 0, "a removed segment holds nothing that is needed");
+    checkInvariant(segments_.at(oldest).liveBytes == 0, "a removed segment has no live records");
     segments_.erase(oldest);
     BOOST_OUTCOME_TRYV(files_->remove(fileName(oldest)));
     return files_->syncFolder();
--- a/src/cardamompost/storage/cp_posix_files.cpp
+++ b/src/cardamompost/storage/cp_posix_files.cpp
@@ -70,19 +70,19 @@
         std::string bytes(length, '\0');
         std::size_t done = 0;
         while (done < length) {
-            const ssize_t got
+            const ssize_t bytesRead
                 = ::pread(descriptor_, bytes.data() + done, length - done, static_cast<off_t>(offset + done));
-            if (got < 0 && errno == EINTR) {
+            if (bytesRead < 0 && errno == EINTR) {
                 continue;
             }
-            if (got < 0) {
+            if (bytesRead < 0) {
                 return systemError("read", name_);
             }
-            if (got == 0) {
+            if (bytesRead == 0) {
                 return makeError(ErrorKind::StorageFailed,
                                  fmt::format("read '{}': the file ends before {}", name_, offset + length));
             }
-            done += static_cast<std::size_t>(got);
+            done += static_cast<std::size_t>(bytesRead);
         }
         return bytes;
     }
@@ -120,8 +120,8 @@
     }
     const int lockDescriptor
         = ::openat(folderDescriptor, std::string(lockName).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, filePermissions);
-    // Guards against two processes on one data folder: each would overwrite the other's synced entries. The lock
-    // is the kernel's, so it goes with the process, however that ends.
+    // Two processes in one data folder would overwrite each other's entries. The kernel releases the lock when the
+    // process ends.
     if (lockDescriptor < 0 || ::flock(lockDescriptor, LOCK_EX | LOCK_NB) != 0) {
         const Error failure = systemError("lock folder", folder);
         ::close(folderDescriptor);
--- a/tests/consensus/cp_raft_storm.tests.cpp
+++ b/tests/consensus/cp_raft_storm.tests.cpp
@@ -105,7 +105,7 @@
     for (std::uint64_t seed = 1; seed <= seedsInCi && !isNoticed; ++seed) {
         RaftStorm storm(seed, 3);
         for (auto &[name, member] : storm.cluster().members) {
-            member->files.lieAboutSync = true;
+            member->files.ignoreSyncs = true;
         }
         try {
             storm.run(steps);
--- a/tests/journal/cp_journal.tests.cpp
+++ b/tests/journal/cp_journal.tests.cpp
@@ -11,14 +11,14 @@
 constexpr std::uint64_t seedsInCi = 40;
 constexpr int steps = 400;
 
-bool isNoticed(const PlantedJournalFaults &planted, bool lieAboutSync, std::uint64_t seeds)
+bool isNoticed(const PlantedJournalFaults &planted, bool ignoreSyncs, std::uint64_t seeds)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         JournalStorm storm(seed);
         storm.wipes = planted.sealsBlank;
         storm.cluster().planted = planted;
         for (auto &[name, vm] : storm.cluster().keepers) {
-            vm.files.lieAboutSync = lieAboutSync;
+            vm.files.ignoreSyncs = ignoreSyncs;
         }
         try {
             storm.run(steps);
--- a/tests/storage/cp_log_store.tests.cpp
+++ b/tests/storage/cp_log_store.tests.cpp
@@ -25,21 +25,21 @@
     BOOST_REQUIRE(store.write(batch).has_value());
 }
 
-MemoryFiles::Content &onlyFile(MemoryFiles &files)
+MemoryFiles::Content &segmentWithRecords(MemoryFiles &files)
 {
     for (auto &[name, content] : files.contents) {
         if (content->bytes.size() > 100) {
             return *content;
         }
     }
-    throw Violation("no file holds anything");
+    throw Violation("no segment holds any records");
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(log_store)
 
-BOOST_AUTO_TEST_CASE(what_was_written_is_read_after_a_restart)
+BOOST_AUTO_TEST_CASE(written_entries_are_loaded_after_a_restart)
 {
     MemoryFiles files;
     {
@@ -57,8 +57,8 @@
     BOOST_TEST(state.entries[1].payload == "b");
 }
 
-// What turns said is stored by itself, in any order: an old text that another member sent must not void newer ones.
-BOOST_AUTO_TEST_CASE(a_loose_entry_voids_nothing_and_many_are_forgotten_at_once)
+// Unordered entries arrive in any order, so one with a lower index must not replace later ones.
+BOOST_AUTO_TEST_CASE(unordered_entries_replace_no_others_and_are_deleted_in_one_record)
 {
     MemoryFiles files;
     {
@@ -82,7 +82,7 @@
     BOOST_TEST((stored.find(5) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_voids_those_at_and_behind_its_index)
+BOOST_AUTO_TEST_CASE(an_entry_replaces_those_at_and_after_its_index)
 {
     MemoryFiles files;
     LogStore store = LogStore::open(files).value();
@@ -94,9 +94,8 @@
     BOOST_TEST(store.group(group).lastTerm() == 2U);
 }
 
-// A VM loses power while it writes. The batch was not synced, so nobody was told of it; what is left of it must not
-// keep the keeper from starting.
-BOOST_AUTO_TEST_CASE(a_torn_tail_is_cut_off)
+// Guards against a store that can't be opened after a power loss during a write that was not acknowledged.
+BOOST_AUTO_TEST_CASE(a_torn_write_is_truncated)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         std::mt19937_64 random(seed);
@@ -105,12 +104,12 @@
             LogStore store = LogStore::open(files).value();
             put(store, entry(1, 1));
             put(store, entry(2, 1));
-            files.lieAboutSync = true;
+            files.ignoreSyncs = true;
             LogBatch batch;
             batch.putEntry(group, entry(3, 1, std::string(100, 'x')));
             batch.putEntry(group, entry(4, 1, std::string(100, 'y')));
             BOOST_REQUIRE(store.write(batch).has_value());
-            files.lieAboutSync = false;
+            files.ignoreSyncs = false;
         }
         files.crash(random);
         Result<LogStore> opened = LogStore::open(files);
@@ -124,9 +123,8 @@
     }
 }
 
-// A sector of synced data has gone bad. The keeper once confirmed what was there; it must not start as if it had not,
-// because a quorum could then form without the entry.
-BOOST_AUTO_TEST_CASE(damage_before_synced_data_keeps_the_store_closed)
+// Guards against a quorum that lacks an acknowledged entry because a member started without its damaged records.
+BOOST_AUTO_TEST_CASE(open_fails_if_a_damaged_record_is_followed_by_synced_ones)
 {
     MemoryFiles files;
     {
@@ -135,15 +133,15 @@
             put(store, entry(index, 1));
         }
     }
-    onlyFile(files).bytes[200] ^= 0x01;
+    segmentWithRecords(files).bytes[200] ^= 0x01;
     const Result<LogStore> opened = LogStore::open(files);
     BOOST_REQUIRE(opened.has_error());
     BOOST_TEST((opened.error().kind == ErrorKind::StorageCorrupt));
     BOOST_TEST(opened.error().message.find("offset") != std::string::npos);
 }
 
-// After a failed sync the kernel may take the pages for clean, and the next sync succeeds without them.
-BOOST_AUTO_TEST_CASE(after_a_failed_sync_nothing_more_is_accepted)
+// After a failed sync the kernel may mark the pages as clean, so that the next sync succeeds without writing them.
+BOOST_AUTO_TEST_CASE(writes_fail_after_a_failed_sync)
 {
     MemoryFiles files;
     LogStore store = LogStore::open(files).value();
@@ -156,7 +154,7 @@
     BOOST_TEST(store.group(group).lastIndex() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_full_disk_is_reported_and_nothing_that_was_synced_is_lost)
+BOOST_AUTO_TEST_CASE(a_full_disk_is_reported_and_synced_entries_are_kept)
 {
     MemoryFiles files;
     {
@@ -173,9 +171,8 @@
     BOOST_TEST(LogStore::open(files).value().group(group).lastIndex() == 1U);
 }
 
-// Segments are removed oldest first. If a later one went before, the entries that it voids would be there again after
-// a restart, and a program that was forgotten would come back.
-BOOST_AUTO_TEST_CASE(forgotten_entries_do_not_come_back_after_cleaning_and_a_restart)
+// Guards against removing a segment with deletion records before the segments that hold the deleted entries.
+BOOST_AUTO_TEST_CASE(deleted_entries_are_not_restored_after_cleaning_and_a_restart)
 {
     MemoryFiles files;
     const LogStoreOptions options {2000, 0.5};
@@ -194,11 +191,11 @@
             put(store, entry(next, 1, std::string(random() % 100, 'x')));
             expected.insert(next++);
             if (expected.size() > 20) {
-                const LogIndex gone = *std::next(expected.begin(), static_cast<std::ptrdiff_t>(random() % 19));
+                const LogIndex deleted = *std::next(expected.begin(), static_cast<std::ptrdiff_t>(random() % 19));
                 LogBatch batch;
-                batch.forget(group, {gone});
+                batch.forget(group, {deleted});
                 BOOST_REQUIRE(store.write(batch).has_value());
-                expected.erase(gone);
+                expected.erase(deleted);
             }
             BOOST_REQUIRE(store.clean().has_value());
         }
@@ -229,10 +226,9 @@
     BOOST_TEST(state.entries[0].index == 4U);
 }
 
-// A ledger VM's process is killed between writing a batch and syncing it, and is back at once: the batch is still
-// there. It goes on, syncs much more, and some seconds later the machine loses its power. Only now the first batch is
-// gone, from below all that was synced after it, and the VM could not start any more.
-BOOST_AUTO_TEST_CASE(what_a_killed_process_left_unsynced_lasts_once_it_was_read)
+// Guards against a missing batch before synced ones: after a process is killed between write and sync, the restarted
+// process has to sync the replayed batch before it writes more.
+BOOST_AUTO_TEST_CASE(entries_that_a_killed_process_left_unsynced_are_durable_once_replayed)
 {
     MemoryFiles files;
     {
@@ -255,8 +251,8 @@
     BOOST_TEST(store.value().loadRaft(group).value().entries.size() == 3U);
 }
 
-// What turns said since the last snapshot is megabytes; in one write, every append waits for all of it.
-BOOST_AUTO_TEST_CASE(a_large_batch_is_split_in_order_and_nothing_is_left_out)
+// Large batches are written in parts, so that other writes do not have to wait for all of it.
+BOOST_AUTO_TEST_CASE(a_large_batch_is_split_in_order_without_losing_records)
 {
     constexpr std::size_t partBytes = 1000;
     constexpr LogIndex count = 40;
--- a/tests/support/cp_memory_files.hpp
+++ b/tests/support/cp_memory_files.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost::tests
 {
 
-//! A folder in memory that loses what was not synced when its machine crashes, or keeps a torn part of it.
+//! A folder in memory that simulates crashes, torn writes and disk errors.
 class MemoryFiles : public IFiles
 {
 public:
@@ -40,7 +40,7 @@
             if (files_.failSyncs) {
                 return makeError(ErrorKind::StorageFailed, "input/output error");
             }
-            if (!files_.lieAboutSync) {
+            if (!files_.ignoreSyncs) {
                 content_->synced = content_->bytes.size();
             }
             ++files_.syncs;
@@ -95,8 +95,7 @@
         return boost::outcome_v2::success();
     }
 
-    //! What is left of the files after the machine has lost its power: of the unsynced part a random beginning, in
-    //! which one byte may have been written wrongly.
+    //! Simulates a crash with torn writes: keeps a random prefix of the unsynced data, possibly with a damaged byte.
     void crash(std::mt19937_64 &random)
     {
         for (auto &[name, content] : contents) {
@@ -110,7 +109,7 @@
         }
     }
 
-    //! All that was not synced is gone.
+    //! Discards all unsynced data.
     void losePower()
     {
         for (auto &[name, content] : contents) {
@@ -119,9 +118,9 @@
     }
 
     std::map<std::string, std::shared_ptr<Content>> contents;
-    bool lieAboutSync = false;
+    bool ignoreSyncs = false;
     bool failSyncs = false;
-    //! -1 for a disk that never fills up.
+    //! Writes that succeed before the disk is full; -1 for no limit.
     int writesUntilFull = -1;
     int syncs = 0;
 };
