--- a/fuzzing/soak.cpp
+++ b/fuzzing/soak.cpp
@@ -1,5 +1,5 @@
 #include "support/cp_journal_storm.hpp"
-#include "support/cp_raft_storm.hpp"
+#include "support/cp_raft_fault_simulation.hpp"
 
 #include <charconv>
 #include <cstring>
@@ -30,9 +30,9 @@
 
 void runRaft(std::uint64_t seed, Totals &totals)
 {
-    RaftStorm storm(seed, seed % 2 == 0 ? 3 : 5);
+    RaftFaultSimulation storm(seed, seed % 2 == 0 ? 3 : 5);
     storm.wipes = seed % 3 == 0;
-    const StormResult result = storm.run(raftSteps);
+    const FaultSimulationResult result = storm.run(raftSteps);
     totals.acknowledged += result.acknowledged;
     totals.wipes += result.wipes;
     totals.virtualHours += hoursOf(result.virtualTime);
--- a/include/cardamompost/consensus/cp_compaction_policy.hpp
+++ b/include/cardamompost/consensus/cp_compaction_policy.hpp
@@ -7,34 +7,33 @@
 namespace cardamompost
 {
 
-//! What decides when a member replaces its log by a snapshot.
+//! Decides when a member replaces its log with a snapshot.
 struct CompactionPolicy {
-    //! Of the entries that are applied and not yet in a snapshot.
+    //! Size of the entries that are applied and not yet in a snapshot.
     std::size_t bytesSinceSnapshot = 0;
-    //! Of the last snapshot.
+    //! Size of the last snapshot.
     std::size_t snapshotBytes = 0;
-    //! This member leads, and a learner does not hold all that is committed.
+    //! True on a leader while a learner lacks committed entries.
     bool hasLaggingLearner = false;
-    //! 0 to 7, another one at each member by chance.
-    unsigned turn = 0;
+    //! Below staggerSlots; spreads the compactions of the members.
+    unsigned staggerSlot = 0;
 
-    //! The log is cut once it is longer than this and than the state itself, which bounds memory and restarts.
-    static constexpr std::size_t leastBytes = 8U << 20U;
-    //! The log may grow to so many times that for a learner.
-    static constexpr std::size_t growthForLearner = 2;
-    //! Guards against members that all make a snapshot at once: each stands still for it, and with a quorum of them
-    //! everything that waits for one. Their logs are cut so many bytes apart.
-    static constexpr std::size_t bytesATurn = 512U << 10U;
-    static constexpr unsigned turns = 8;
+    //! Smallest log size that is compacted; the size of the last snapshot applies if it is larger.
+    static constexpr std::size_t minLogBytes = 8U << 20U;
+    //! Factor by which the limit grows while a learner catches up.
+    static constexpr std::size_t learnerGrowthFactor = 2;
+    //! Difference of the limit between two slots. A member pauses while it makes a snapshot, so a quorum must not do so
+    //! at the same time.
+    static constexpr std::size_t staggerBytes = 512U << 10U;
+    static constexpr unsigned staggerSlots = 8;
 
-    //! Guards against a newcomer that chases snapshots. Under load the log is cut every few seconds; a learner that has
-    //! just been given one snapshot lacks the entries after it by then, is sent the next, and so on, so that a member
-    //! that is lost or to be emptied stays the longer the busier the group is. The entries after the snapshot that was
-    //! sent are kept for it, up to a bound, since memory is small.
+    //! Guards against sending snapshots to a learner over and over: under load, the entries that follow a snapshot
+    //! would be compacted before the learner has received it.
     [[nodiscard]] bool isDue() const
     {
-        const std::size_t bytes = std::max(leastBytes, snapshotBytes);
-        return bytesSinceSnapshot >= (hasLaggingLearner ? growthForLearner * bytes : bytes) + turn * bytesATurn;
+        const std::size_t bytes = std::max(minLogBytes, snapshotBytes);
+        return bytesSinceSnapshot
+            >= (hasLaggingLearner ? learnerGrowthFactor * bytes : bytes) + staggerSlot * staggerBytes;
     }
 };
 
--- a/include/cardamompost/consensus/cp_log_entry.hpp
+++ b/include/cardamompost/consensus/cp_log_entry.hpp
@@ -6,13 +6,13 @@
 namespace cardamompost
 {
 
-//! What a replicated entry is for.
+//! Purpose of a replicated entry.
 enum class EntryKind : std::uint8_t {
     //! A command of the state machine.
     Command = 0,
     //! A new set of voters and learners.
     Membership = 1,
-    //! Written by a new leader or owner, so that earlier entries can be committed by counting its own.
+    //! Empty entry of a new leader or owner; committing it commits all earlier entries.
     Barrier = 2,
 };
 
--- a/include/cardamompost/consensus/cp_membership.hpp
+++ b/include/cardamompost/consensus/cp_membership.hpp
@@ -9,23 +9,23 @@
 namespace cardamompost
 {
 
-//! Who votes in a consensus group, and who only receives its log.
+//! Voters and learners of a consensus group; learners receive the log and do not vote.
 struct Membership {
     std::set<VmName> voters;
     std::set<VmName> learners;
 
-    //! Smallest number of voters whose agreement commits.
+    //! Smallest number of voters that can commit an entry.
     [[nodiscard]] std::size_t quorum() const
     {
         return voters.size() / 2 + 1;
     }
 
-    //! True when the voters differ by one at most, so that old and new quorums always share a voter.
+    //! True when the voters differ by at most one, so that every old quorum intersects every new one.
     [[nodiscard]] bool isSingleStepFrom(const Membership &previous) const;
 
-    //! Text for an entry's payload.
+    //! Serializes the membership for the payload of an entry.
     [[nodiscard]] std::string encode() const;
-    //! Nothing for a text that encode() did not make.
+    //! Parses the result of encode(); empty for malformed text.
     [[nodiscard]] static std::optional<Membership> decode(const std::string &text);
 
     friend bool operator==(const Membership &, const Membership &) = default;
--- a/include/cardamompost/consensus/cp_raft_log.hpp
+++ b/include/cardamompost/consensus/cp_raft_log.hpp
@@ -6,7 +6,7 @@
 namespace cardamompost
 {
 
-//! The entries of a group after its snapshot, with the membership that they imply.
+//! Snapshot of a group, the entries that follow it, and the membership that they define.
 class RaftLog
 {
 public:
@@ -17,21 +17,22 @@
         return snapshot_.index + entries_.size();
     }
     [[nodiscard]] Term lastTerm() const;
-    //! The term at an index; nothing for an index that is compacted away or not there yet.
+    //! The term at an index; empty for an index that is compacted or beyond the end.
     [[nodiscard]] std::optional<Term> termAt(LogIndex index) const;
     [[nodiscard]] const LogEntry &at(LogIndex index) const;
     [[nodiscard]] const RaftSnapshot &snapshot() const
     {
         return snapshot_;
     }
-    //! The membership of the last entry that has one, committed or not.
+    //! The membership of the latest membership entry, committed or not.
     [[nodiscard]] const Membership &membership() const
     {
         return membership_;
     }
+    //! True when a log that ends at this index and term is at least as up to date as this one.
     [[nodiscard]] bool isUpToDate(LogIndex index, Term term) const;
 
-    //! Entries from an index on, until a size is exceeded; at least one if there is one.
+    //! Entries from an index on, up to a total size; at least one if there is any.
     [[nodiscard]] std::vector<LogEntry> slice(LogIndex from, std::size_t maxBytes) const;
 
     void append(LogEntry entry);
--- a/include/cardamompost/consensus/cp_raft_message.hpp
+++ b/include/cardamompost/consensus/cp_raft_message.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! Messages between members of a consensus group.
+//! Types of messages between the members of a consensus group.
 enum class RaftMessageType : std::uint8_t {
     PreVote,
     PreVoteReply,
@@ -22,7 +22,7 @@
     TimeoutNow,
 };
 
-//! State of a group at an index, which replaces the entries up to there.
+//! State of a group at an index; replaces the entries up to and including it.
 struct RaftSnapshot {
     LogIndex index = 0;
     Term term = 0;
@@ -30,23 +30,23 @@
     std::string state;
 };
 
-//! One message; the fields that a type does not use keep their defaults.
+//! A message; fields that its type does not use keep their defaults.
 struct RaftMessage {
     RaftMessageType type = RaftMessageType::Append;
     VmName from;
     VmName to;
     Term term = 0;
-    //! Vote: the candidate's last entry. Append: the entry before the first sent. Replies: the highest match.
+    //! Vote: last entry of the candidate. Append: entry before the first one sent. Replies: highest matching entry.
     LogIndex index = 0;
     Term indexTerm = 0;
     LogIndex commit = 0;
     bool granted = false;
-    //! The sender has lost its disk and does not hold yet what it once confirmed.
+    //! The sender has lost its disk and may lack entries that it acknowledged before.
     bool isUninitialized = false;
-    //! Counter of the leader's confirmation rounds, echoed by replies.
+    //! Number of the leader's read confirmation round, echoed by replies.
     std::uint64_t round = 0;
     std::vector<LogEntry> entries;
-    //! SnapshotPiece: state holds the bytes from offset on. SnapshotReply: the offset wanted next.
+    //! SnapshotPiece: state holds the bytes from offset on. SnapshotReply: offset is the next one expected.
     RaftSnapshot snapshot;
     std::uint64_t offset = 0;
     bool isLastPiece = false;
--- a/include/cardamompost/consensus/cp_raft_node.hpp
+++ b/include/cardamompost/consensus/cp_raft_node.hpp
@@ -13,27 +13,25 @@
 namespace cardamompost
 {
 
-//! Times and sizes of a consensus group.
+//! Timeouts and size limits of a consensus group.
 struct RaftOptions {
     VmName self;
-    //! A follower starts an election after 1 to 2 times this without a leader.
+    //! Upper bound of the base election timeout; the actual one is randomized between 1 and 2 times the base.
     Milliseconds electionTimeout {400};
-    //! Shorter election timeouts are taken, down to this, where the leader's contacts are dense (SilenceDetector); 0
-    //! for none.
+    //! Lower bound of the base election timeout, which adapts to the observed heartbeats (SilenceDetector); 0 for a
+    //! fixed timeout.
     Milliseconds shortestElectionTimeout {0};
-    //! The same for the first time after a start; 0 for no difference. Shorter, a group whose members all start
-    //! together has its leader sooner; a member that starts alone disturbs nobody, since a pre-vote against a leader
-    //! fails.
+    //! Base election timeout after a start, so that a new group elects its leader sooner; 0 for electionTimeout.
     Milliseconds firstElectionTimeout {0};
     Milliseconds heartbeatInterval {100};
     std::size_t maxAppendBytes = 1U << 20U;
     std::size_t snapshotPieceBytes = 256U << 10U;
-    //! Append messages to one member that wait for a reply.
+    //! Unacknowledged Append messages per member.
     std::size_t maxInFlight = 32;
     std::uint64_t seed = 0;
 };
 
-//! What a member must find again after a restart, besides its log.
+//! State that a member persists besides its log.
 struct RaftHardState {
     Term term = 0;
     VmName votedFor;
@@ -41,33 +39,33 @@
     friend bool operator==(const RaftHardState &, const RaftHardState &) = default;
 };
 
-//! Stands for the vote of a member that has lost its disk: it may have voted for anybody in any term.
-inline constexpr std::string_view unknownVote = "?";
+//! Value of votedFor for a member that has lost its disk and may have voted for any candidate.
+inline constexpr std::string_view unknownVotedFor = "?";
 
-//! All that storage holds for a group.
+//! Persisted state of a group.
 struct RaftStoredState {
     RaftHardState hard;
     RaftSnapshot snapshot;
     std::vector<LogEntry> entries;
 };
 
-//! A linearizable read that may now be served from state applied up to an index.
+//! A confirmed linearizable read; it may be served once the index is applied.
 struct RaftReadyRead {
     std::uint64_t id = 0;
     LogIndex index = 0;
 };
 
-//! Work for the driver, in this order: sync what is to be stored, call persisted(), send, apply.
+//! Pending work for the driver, in this order: store and sync, call persisted(), send messages, apply entries.
 struct RaftReady {
     std::optional<RaftHardState> hard;
     //! A received snapshot replaces the whole log.
     std::optional<RaftSnapshot> snapshot;
-    //! Entries to store; those of the same or a higher index that are stored already are void.
+    //! Entries to store; they replace stored entries of the same or a higher index.
     std::vector<LogEntry> entries;
     std::vector<RaftMessage> messages;
     std::vector<LogEntry> committed;
     std::vector<RaftReadyRead> reads;
-    //! Reads that can't be confirmed any more, because leadership was lost.
+    //! Reads that failed because leadership was lost.
     std::vector<std::uint64_t> failedReads;
 };
 
@@ -80,42 +78,42 @@
 
 //! One member of a consensus group: a state machine without threads, sockets, files or clock.
 //!
-//! A member that has lost its disk (its stored vote is unknownVote) takes part in no election until its log reaches
-//! what a settled leader has committed; then it counts as having voted for that leader.
+//! A member that has lost its disk (votedFor is unknownVotedFor) neither votes nor starts elections until its log
+//! contains everything that an established leader has committed. It then counts as having voted for that leader.
 //!
-//! Source: D. Ongaro, "Consensus: Bridging Theory and Practice" (2014): elections with pre-vote (9.6), a leader
-//! that steps down without its quorum (6.2), confirmed reads (6.4), single-server changes (4.1) with
+//! Source: D. Ongaro, "Consensus: Bridging Theory and Practice" (2014): elections with pre-vote (9.6), leaders
+//! that step down without a quorum (6.2), read index (6.4), single-server membership changes (4.1) with
 //! learners (4.2.1), leadership transfer (3.10).
-//! Thread-safety: none; one thread or strand drives it.
+//! Thread-safety: none; to be used from one thread or strand.
 class RaftNode
 {
 public:
-    //! \param initial  members of a group that has stored nothing yet
+    //! \param initial  membership of a group without a snapshot
     RaftNode(RaftOptions options, RaftStoredState stored, const Membership &initial, TimePoint now);
 
-    //! Runs what is due. To be called at least every half heartbeat interval.
+    //! Handles timeouts and heartbeats. To be called at least twice per heartbeat interval.
     void tick(TimePoint now);
     void step(TimePoint now, RaftMessage message);
 
-    //! Appends a command on the leader. Errors: NotLeader. Commitment shows in RaftReady::committed.
+    //! Appends a command on the leader; once committed, it is in RaftReady::committed. Errors: NotLeader.
     Result<LogIndex> propose(std::string payload);
 
-    //! Starts a change by one voter, or of learners. Errors: NotLeader; NotReady while another change is not
-    //! committed or a learner that would become a voter has not caught up.
+    //! Starts a membership change of at most one voter and any learners. Errors: NotLeader; InvalidRequest for a larger
+    //! change; NotReady while another change is uncommitted or a learner to be promoted has not caught up.
     Result<LogIndex> proposeMembership(const Membership &next);
 
-    //! Asks for a read that sees all that was committed before. Errors: NotLeader, NotReady in a new term.
+    //! Requests a linearizable read. Errors: NotLeader; NotReady until an entry of the current term is committed.
     Result<void> requestRead(std::uint64_t id);
 
-    //! Asks a voter that has the whole log to take over at once.
+    //! Asks a voter to start an election at once; ignored unless it has the whole log.
     void transferLeadership(const VmName &to);
 
-    //! Replaces the entries up to an applied index by a snapshot of the state there.
+    //! Replaces the entries up to an applied index with a snapshot of the state at that index.
     void compact(LogIndex index, std::string state);
 
     [[nodiscard]] bool hasReady() const;
     [[nodiscard]] RaftReady takeReady();
-    //! The entries, hard state and snapshot of the last RaftReady are synced.
+    //! Reports that the entries, hard state and snapshot of the last RaftReady are synced.
     void persisted(LogIndex lastIndex, Term lastTerm);
 
     [[nodiscard]] RaftRole role() const
@@ -126,7 +124,7 @@
     {
         return hard_.term;
     }
-    //! Empty while none is known.
+    //! Empty while no leader is known.
     [[nodiscard]] const VmName &leader() const
     {
         return leader_;
@@ -143,17 +141,17 @@
     {
         return log_.membership();
     }
-    //! Highest index that a member is known to hold; only on the leader.
+    //! Highest log index known to be replicated to a member; valid on the leader only.
     [[nodiscard]] LogIndex matchOf(const VmName &member) const;
-    //! True once the leader has committed an entry of its own term.
+    //! True on a leader that has committed an entry of its own term.
     [[nodiscard]] bool isEstablishedLeader() const;
-    //! True while the leader has heard from a quorum so lately that no other member can have been elected: what has to
-    //! be decided by one member at a time may be decided here. Members whose clocks run at other speeds weaken that.
+    //! True while the leader has had contact with a quorum so recently that no other leader can have been elected.
+    //! Relies on bounded clock drift between members.
     [[nodiscard]] bool hasLease(TimePoint now) const;
-    //! True for a member that has lost its disk and does not hold again all that is committed.
+    //! True for a member that has lost its disk and has not yet received all committed entries.
     [[nodiscard]] bool isUninitialized() const
     {
-        return hard_.votedFor == unknownVote;
+        return hard_.votedFor == unknownVotedFor;
     }
 
 private:
@@ -167,7 +165,7 @@
         std::uint64_t ackedRound = 0;
         LogIndex snapshotIndex = 0;
         std::uint64_t snapshotOffset = 0;
-        //! The last piece that was sent.
+        //! Time and offset of the last piece sent.
         TimePoint snapshotSentAt {};
         std::uint64_t snapshotSentOffset = 0;
     };
@@ -182,7 +180,7 @@
     void startElection(bool isPreVote);
     void countVote(const RaftMessage &message);
     void resetElectionDeadline();
-    void failReads();
+    void failPendingReads();
 
     bool acceptTerm(const RaftMessage &message);
     void answerOldTerm(const RaftMessage &message);
@@ -202,18 +200,18 @@
     void advanceReads();
     void checkQuorumContact();
     void refreshProgress();
-    void appendOwn(EntryKind kind, std::string payload);
+    void appendEntry(EntryKind kind, std::string payload);
     RaftMessage makeMessage(RaftMessageType type, const VmName &to) const;
     [[nodiscard]] std::set<VmName> peers() const;
     [[nodiscard]] bool isVoter(const VmName &name) const;
     [[nodiscard]] bool hasRecentLeader() const;
-    void noteLeaderContact(const VmName &leader);
+    void recordLeaderContact(const VmName &leader);
 
     RaftOptions options_;
     std::mt19937_64 random_;
     RaftLog log_;
     RaftHardState hard_;
-    RaftHardState savedHard_;
+    RaftHardState lastReadyHard_;
     RaftRole role_ = RaftRole::Follower;
     VmName leader_;
     LogIndex commit_ = 0;
@@ -224,9 +222,9 @@
     TimePoint now_ {};
     TimePoint electionDeadline_ {};
     TimePoint leaderContact_ {};
-    //! Whose contacts are in leaderGaps_.
-    VmName gapsOf_;
-    SilenceDetector leaderGaps_;
+    //! The leader whose contacts leaderDetector_ has observed.
+    VmName observedLeader_;
+    SilenceDetector leaderDetector_;
     TimePoint nextHeartbeat_ {};
     std::set<VmName> votes_;
     std::map<VmName, Progress> progress_;
--- a/src/cardamompost/consensus/cp_raft_election.cpp
+++ b/src/cardamompost/consensus/cp_raft_election.cpp
@@ -6,19 +6,19 @@
 
 void RaftNode::resetElectionDeadline()
 {
-    const Milliseconds timeout = leaderGaps_.suspicionTimeout();
+    const Milliseconds timeout = leaderDetector_.suspicionTimeout();
     std::uniform_int_distribution<std::int64_t> spread(0, timeout.count());
     electionDeadline_ = now_ + timeout + Milliseconds(spread(random_));
 }
 
-void RaftNode::noteLeaderContact(const VmName &leader)
+void RaftNode::recordLeaderContact(const VmName &leader)
 {
     leaderContact_ = now_;
-    if (gapsOf_ != leader) {
-        gapsOf_ = leader;
-        leaderGaps_.restart(now_);
+    if (observedLeader_ != leader) {
+        observedLeader_ = leader;
+        leaderDetector_.restart(now_);
     } else {
-        leaderGaps_.observe(now_);
+        leaderDetector_.observe(now_);
     }
     resetElectionDeadline();
 }
@@ -28,17 +28,17 @@
     if (role_ == RaftRole::Leader) {
         return true;
     }
-    return !leader_.empty() && now_ - leaderContact_ < leaderGaps_.suspicionTimeout();
+    return !leader_.empty() && now_ - leaderContact_ < leaderDetector_.suspicionTimeout();
 }
 
 void RaftNode::becomeFollower(Term term, const VmName &leader)
 {
-    checkInvariant(term >= hard_.term, "a term never goes back");
+    checkInvariant(term >= hard_.term, "the term never decreases");
     if (term > hard_.term) {
-        hard_ = {term, isUninitialized() ? std::string(unknownVote) : VmName {}};
+        hard_ = {term, isUninitialized() ? std::string(unknownVotedFor) : VmName {}};
     }
     if (role_ == RaftRole::Leader) {
-        failReads();
+        failPendingReads();
     }
     role_ = RaftRole::Follower;
     leader_ = leader;
@@ -49,7 +49,7 @@
 
 void RaftNode::startElection(bool isPreVote)
 {
-    // A pre-vote changes no term, so a member that was cut off can't depose a working leader when it is back.
+    // A pre-vote does not change the term, so a member that returns from a partition can't depose a working leader.
     role_ = isPreVote ? RaftRole::PreCandidate : RaftRole::Candidate;
     leader_.clear();
     if (!isPreVote) {
@@ -83,7 +83,7 @@
     leader_ = options_.self;
     progress_.clear();
     refreshProgress();
-    appendOwn(EntryKind::Barrier, {});
+    appendEntry(EntryKind::Barrier, {});
     pendingMembership_ = log_.lastIndex();
     nextHeartbeat_ = now_ + options_.heartbeatInterval;
     broadcastAppend(false);
@@ -94,11 +94,11 @@
     const bool isPreVote = message.type == RaftMessageType::PreVote;
     RaftMessage reply
         = makeMessage(isPreVote ? RaftMessageType::PreVoteReply : RaftMessageType::VoteReply, message.from);
-    const bool isFree = isPreVote || hard_.votedFor.empty() || hard_.votedFor == message.from;
+    const bool canVoteForSender = isPreVote || hard_.votedFor.empty() || hard_.votedFor == message.from;
     const bool hasNewerTerm = message.term > hard_.term || (!isPreVote && message.term == hard_.term);
-    // Guards against a member that has lost its disk and votes twice in a term, or for one that lacks what it once
-    // confirmed itself.
-    reply.granted = !isUninitialized() && hasNewerTerm && isFree && !(isPreVote && hasRecentLeader())
+    // A member that has lost its disk could vote twice in a term, or for a candidate that lacks entries which it
+    // acknowledged itself.
+    reply.granted = !isUninitialized() && hasNewerTerm && canVoteForSender && !(isPreVote && hasRecentLeader())
         && log_.isUpToDate(message.index, message.indexTerm);
     if (reply.granted && isPreVote) {
         reply.term = message.term;
--- a/src/cardamompost/consensus/cp_raft_log.cpp
+++ b/src/cardamompost/consensus/cp_raft_log.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// Room that an entry takes in a message besides its payload.
+// Approximate size of an entry in a message besides its payload.
 constexpr std::size_t entryOverheadBytes = 64;
 
 } // namespace
@@ -66,7 +66,7 @@
 
 void RaftLog::append(LogEntry entry)
 {
-    checkInvariant(entry.index == lastIndex() + 1, "log entries follow without a gap");
+    checkInvariant(entry.index == lastIndex() + 1, "log indexes are contiguous");
     if (entry.kind == EntryKind::Membership) {
         membership_ = Membership::decode(entry.payload).value_or(membership_);
     }
--- a/src/cardamompost/consensus/cp_raft_node.cpp
+++ b/src/cardamompost/consensus/cp_raft_node.cpp
@@ -11,13 +11,13 @@
     , random_(options_.seed)
     , log_(std::move(stored.snapshot), std::move(stored.entries), initial)
     , hard_(std::move(stored.hard))
-    , savedHard_(hard_)
+    , lastReadyHard_(hard_)
     , commit_(log_.snapshot().index)
     , delivered_(commit_)
     , unstableFrom_(log_.lastIndex() + 1)
     , stableIndex_(log_.lastIndex())
     , now_(now)
-    , leaderGaps_(
+    , leaderDetector_(
           {options_.shortestElectionTimeout.count() != 0 ? options_.shortestElectionTimeout : options_.electionTimeout,
            options_.electionTimeout})
 {
@@ -47,9 +47,9 @@
 Result<LogIndex> RaftNode::propose(std::string payload)
 {
     if (role_ != RaftRole::Leader) {
-        return makeError(ErrorKind::NotLeader, "this member does not lead the control log");
+        return makeError(ErrorKind::NotLeader, "this member is not the leader");
     }
-    appendOwn(EntryKind::Command, std::move(payload));
+    appendEntry(EntryKind::Command, std::move(payload));
     broadcastAppend(false);
     return log_.lastIndex();
 }
@@ -57,26 +57,26 @@
 Result<LogIndex> RaftNode::proposeMembership(const Membership &next)
 {
     if (role_ != RaftRole::Leader) {
-        return makeError(ErrorKind::NotLeader, "this member does not lead the control log");
+        return makeError(ErrorKind::NotLeader, "this member is not the leader");
     }
-    // Guards against two quorums that do not meet: with two changes under way at once, or a change by two
-    // voters, members could commit different entries at one index. A new leader also waits for its barrier,
-    // because an uncommitted change of the last leader may still be in its log.
+    // Two concurrent changes, or a change of two voters, could lead to disjoint quorums that commit different entries
+    // at one index. A new leader waits for its barrier, since its log may hold an uncommitted change of its
+    // predecessor.
     if (pendingMembership_ > commit_ || !isEstablishedLeader()) {
-        return makeError(ErrorKind::NotReady, "another change of members is not committed yet");
+        return makeError(ErrorKind::NotReady, "another membership change is not committed yet");
     }
     if (next.voters.empty() || !next.isSingleStepFrom(membership())) {
-        return makeError(ErrorKind::InvalidRequest, "members change by one voter at a time");
+        return makeError(ErrorKind::InvalidRequest, "a membership change may add or remove one voter at most");
     }
-    // Guards against losing a committed entry with the next VM: a voter without the log would make a quorum
-    // that holds it in fewer places than it counts.
+    // A voter without the log would count towards the quorum without holding committed entries, which the loss of
+    // another VM could then destroy.
     for (const VmName &voter : next.voters) {
         const bool isNew = !membership().voters.contains(voter);
         if (isNew && matchOf(voter) < commit_) {
-            return makeError(ErrorKind::NotReady, "'" + voter + "' has not caught up as a learner");
+            return makeError(ErrorKind::NotReady, "'" + voter + "' is not a learner that has caught up");
         }
     }
-    appendOwn(EntryKind::Membership, next.encode());
+    appendEntry(EntryKind::Membership, next.encode());
     pendingMembership_ = log_.lastIndex();
     refreshProgress();
     broadcastAppend(false);
@@ -86,10 +86,10 @@
 Result<void> RaftNode::requestRead(std::uint64_t id)
 {
     if (role_ != RaftRole::Leader) {
-        return makeError(ErrorKind::NotLeader, "this member does not lead the control log");
+        return makeError(ErrorKind::NotLeader, "this member is not the leader");
     }
-    // Guards against a stale read right after an election: entries committed by the last leader may not be
-    // known as committed here until an entry of this term is.
+    // A new leader may not know which entries of its predecessor are committed until it commits one of its own term,
+    // so a read could be stale.
     if (!isEstablishedLeader()) {
         return makeError(ErrorKind::NotReady, "the new leader has not committed its first entry yet");
     }
@@ -114,16 +114,16 @@
 
 bool RaftNode::hasReady() const
 {
-    return hard_ != savedHard_ || receivedSnapshot_ || unstableFrom_ <= log_.lastIndex() || !outbox_.empty()
+    return hard_ != lastReadyHard_ || receivedSnapshot_ || unstableFrom_ <= log_.lastIndex() || !outbox_.empty()
         || delivered_ < std::min(commit_, stableIndex_) || !readyReads_.empty() || !failedReads_.empty();
 }
 
 RaftReady RaftNode::takeReady()
 {
     RaftReady ready;
-    if (hard_ != savedHard_) {
+    if (hard_ != lastReadyHard_) {
         ready.hard = hard_;
-        savedHard_ = hard_;
+        lastReadyHard_ = hard_;
     }
     ready.snapshot = std::exchange(receivedSnapshot_, std::nullopt);
     for (LogIndex index = unstableFrom_; index <= log_.lastIndex(); ++index) {
@@ -131,7 +131,7 @@
     }
     unstableFrom_ = log_.lastIndex() + 1;
     ready.messages = std::exchange(outbox_, {});
-    // Entries are applied only when they are stored here too, so a restart never finds the log behind the state.
+    // Entries are applied only once they are synced locally, so that the log never lags behind the state at a restart.
     for (; delivered_ < std::min(commit_, stableIndex_); ++delivered_) {
         ready.committed.push_back(log_.at(delivered_ + 1));
     }
@@ -142,7 +142,7 @@
 
 void RaftNode::persisted(LogIndex lastIndex, Term lastTerm)
 {
-    // A truncation may have come in between; then what was synced is no longer this log.
+    // The log may have been truncated since; the synced entries are then not part of it.
     if (log_.termAt(lastIndex) != lastTerm) {
         return;
     }
@@ -180,7 +180,7 @@
     return recent >= membership().quorum();
 }
 
-void RaftNode::appendOwn(EntryKind kind, std::string payload)
+void RaftNode::appendEntry(EntryKind kind, std::string payload)
 {
     log_.append({log_.lastIndex() + 1, hard_.term, kind, std::move(payload)});
 }
@@ -224,8 +224,7 @@
 
 void RaftNode::checkQuorumContact()
 {
-    // Guards against a leader behind a silent partition: its clients would wait for answers that can't come,
-    // while the others already follow a new leader. Without its quorum for an election timeout it steps down.
+    // A partitioned leader steps down, so that its clients do not wait for it while the other members follow a new one.
     std::size_t reachable = isVoter(options_.self) ? 1 : 0;
     for (const auto &[name, progress] : progress_) {
         const bool isRecent = now_ - progress.lastContact < 2 * options_.electionTimeout;
@@ -244,8 +243,8 @@
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const LogIndex candidate = matches[membership().quorum() - 1];
-    // Only an entry of the own term commits by counting; earlier ones follow it. Otherwise a later leader could
-    // overwrite an entry that a quorum once held (the thesis, figure 3.7).
+    // Only entries of the current term are committed by counting replicas; earlier ones are committed with them.
+    // Otherwise a later leader could overwrite an entry that a quorum holds (Ongaro, figure 3.7).
     if (candidate <= commit_ || log_.termAt(candidate) != hard_.term) {
         return;
     }
@@ -275,7 +274,7 @@
     std::erase_if(pendingReads_, isConfirmed);
 }
 
-void RaftNode::failReads()
+void RaftNode::failPendingReads()
 {
     for (const PendingRead &read : pendingReads_) {
         failedReads_.push_back(read.id);
--- a/src/cardamompost/consensus/cp_raft_replication.cpp
+++ b/src/cardamompost/consensus/cp_raft_replication.cpp
@@ -55,7 +55,7 @@
 
 void RaftNode::answerOldTerm(const RaftMessage &message)
 {
-    // Tells a deposed leader or a late candidate the term, so that it stops at once instead of at a timeout.
+    // Sends the current term to a deposed leader or an outdated candidate, so that it steps down before its timeout.
     if (message.type == RaftMessageType::Append || message.type == RaftMessageType::SnapshotPiece) {
         outbox_.push_back(makeMessage(RaftMessageType::AppendReply, message.from));
     } else if (message.type == RaftMessageType::PreVote) {
@@ -87,9 +87,8 @@
     message.indexTerm = *previousTerm;
     message.commit = commit_;
     message.round = round_;
-    // Guards the memory of both: a member that is back from a pause rejects, one by one, all heartbeats that had queued
-    // up for it. A probe asks only where its log ends; were entries sent along, each rejection would bring as many
-    // again.
+    // Probes carry no entries: a member that resumes after a pause rejects every queued heartbeat, and each rejection
+    // would cause the same entries to be sent again.
     if (!isBlocked && !progress.isProbing) {
         message.entries = log_.slice(progress.next, options_.maxAppendBytes);
     }
@@ -97,7 +96,7 @@
         return;
     }
     if (progress.isProbing) {
-        // A probe is sent again with each heartbeat, since the last one or its answer may be lost.
+        // A probe is repeated with every heartbeat, since the previous one or its reply may be lost.
         progress.probeSent = !isHeartbeat;
     } else {
         progress.next += message.entries.size();
@@ -114,8 +113,8 @@
         progress.snapshotOffset = 0;
         progress.snapshotSentAt = {};
     }
-    // Guards the leader's memory and link: every proposal and every confirmed read comes by here, and each would bring
-    // the same piece once more while its answer is still on the way. A lost one comes again after two heartbeats.
+    // Every proposal and read calls this, so a piece is not sent again while its reply is pending; after two heartbeat
+    // intervals it is taken as lost.
     const bool isPending = progress.snapshotSentAt != TimePoint {}
         && progress.snapshotSentOffset == progress.snapshotOffset
         && now_ - progress.snapshotSentAt < 2 * options_.heartbeatInterval;
@@ -135,11 +134,11 @@
 
 void RaftNode::onAppend(RaftMessage &message)
 {
-    checkInvariant(role_ != RaftRole::Leader, "two leaders in one term");
+    checkInvariant(role_ != RaftRole::Leader, "a term has at most one leader");
     if (role_ != RaftRole::Follower || leader_ != message.from) {
         becomeFollower(message.term, message.from);
     }
-    noteLeaderContact(message.from);
+    recordLeaderContact(message.from);
     RaftMessage reply = makeMessage(RaftMessageType::AppendReply, message.from);
     reply.round = message.round;
     const std::optional<Term> ownTerm = log_.termAt(message.index);
@@ -155,7 +154,7 @@
             continue;
         }
         if (entry.index <= log_.lastIndex()) {
-            checkInvariant(entry.index > commit_, "a committed entry is never replaced");
+            checkInvariant(entry.index > commit_, "a committed entry is never overwritten");
             log_.truncateFrom(entry.index);
             stableIndex_ = std::min(stableIndex_, entry.index - 1);
             unstableFrom_ = std::min(unstableFrom_, entry.index);
@@ -170,9 +169,9 @@
 
 void RaftNode::initializeIfCaughtUp(const RaftMessage &message)
 {
-    // A settled leader's commit index covers all that was ever committed, also with this member's lost copy.
-    const bool isSettled = message.commit > 0 && log_.termAt(message.commit) == message.term;
-    if (isUninitialized() && isSettled && commit_ >= message.commit) {
+    // The commit index of an established leader covers all committed entries, including those that this member lost.
+    const bool isEstablished = message.commit > 0 && log_.termAt(message.commit) == message.term;
+    if (isUninitialized() && isEstablished && commit_ >= message.commit) {
         hard_.votedFor = message.from;
     }
 }
@@ -211,7 +210,7 @@
     progress.probeSent = false;
     progress.inFlight = 0;
     if (message.isUninitialized) {
-        // What it confirmed before it lost its disk counts no more.
+        // Entries that it acknowledged before it lost its disk do not count as replicated.
         progress.match = std::min(progress.match, message.index);
     }
     progress.next = std::max(progress.match + 1, std::min(message.index + 1, log_.lastIndex() + 1));
@@ -222,7 +221,7 @@
     if (role_ != RaftRole::Follower || leader_ != message.from) {
         becomeFollower(message.term, message.from);
     }
-    noteLeaderContact(message.from);
+    recordLeaderContact(message.from);
     RaftMessage reply = makeMessage(RaftMessageType::SnapshotReply, message.from);
     reply.round = message.round;
     reply.snapshot.index = message.snapshot.index;
@@ -235,7 +234,7 @@
     if (incoming_.index != message.snapshot.index) {
         incoming_ = {message.snapshot.index, message.snapshot.term, message.snapshot.membership, {}};
     }
-    // A piece that is lost or comes twice shows as an offset that does not continue; the reply asks for the right one.
+    // A lost or duplicate piece has an unexpected offset; the reply requests the expected one.
     if (message.offset == incoming_.state.size()) {
         incoming_.state += message.snapshot.state;
         reply.granted = message.isLastPiece;
--- a/src/cardamompost/journal/cp_journal_keeper.cpp
+++ b/src/cardamompost/journal/cp_journal_keeper.cpp
@@ -47,7 +47,7 @@
 
 void JournalKeeper::markUninitialized(LogBatch &batch)
 {
-    batch.putHardState(markerGroup, {promisesLost, std::string(unknownVote)});
+    batch.putHardState(markerGroup, {promisesLost, std::string(unknownVotedFor)});
 }
 
 void JournalKeeper::restorePromises(const std::vector<Epoch> &epochs, LogBatch &batch)
@@ -55,9 +55,9 @@
     // Guards against an owner that was deposed before the loss: the promise that kept it out is gone, and it could
     // get entries confirmed beside the present owner. Whatever was promised, the control log had given out before.
     for (PartitionId partition = 0; partition < epochs.size(); ++partition) {
-        batch.putHardState(journalGroup(partition), {epochs[partition], std::string(unknownVote)});
+        batch.putHardState(journalGroup(partition), {epochs[partition], std::string(unknownVotedFor)});
     }
-    batch.putHardState(markerGroup, {promisesRestored, std::string(unknownVote)});
+    batch.putHardState(markerGroup, {promisesRestored, std::string(unknownVotedFor)});
 }
 
 bool JournalKeeper::isReady() const
@@ -67,7 +67,7 @@
 
 bool JournalKeeper::isUninitialized(PartitionId partition) const
 {
-    return groupOf(partition).hard.votedFor == unknownVote;
+    return groupOf(partition).hard.votedFor == unknownVotedFor;
 }
 
 bool JournalKeeper::promise(PartitionId partition, Epoch epoch, const VmName &owner, LogBatch &batch)
@@ -79,7 +79,7 @@
     const bool isOwnUninitialized = isUninitialized(partition);
     checkInvariant(epoch > hard.term || owner == hard.votedFor || isOwnUninitialized, "an epoch belongs to one owner");
     if (epoch > hard.term) {
-        batch.putHardState(journalGroup(partition), {epoch, isOwnUninitialized ? std::string(unknownVote) : owner});
+        batch.putHardState(journalGroup(partition), {epoch, isOwnUninitialized ? std::string(unknownVotedFor) : owner});
     }
     return true;
 }
--- a/src/daemon/cp_daemon.cpp
+++ b/src/daemon/cp_daemon.cpp
@@ -79,7 +79,7 @@
 {
     if (replacedAtTerm) {
         LogBatch batch;
-        batch.putHardState(controlGroup, {*replacedAtTerm, std::string(unknownVote)});
+        batch.putHardState(controlGroup, {*replacedAtTerm, std::string(unknownVotedFor)});
         keeper_->markReplaced(batch);
         BOOST_OUTCOME_TRYV(disk_->store().write(batch));
         log_.warn("keeper.disk_replaced", {{"term", *replacedAtTerm}});
--- a/src/gateway/cp_consensus_driver.cpp
+++ b/src/gateway/cp_consensus_driver.cpp
@@ -47,7 +47,7 @@
         snapshotBytes_ = stored.snapshot.state.size();
     }
     applied_ = stored.snapshot.index;
-    cutTurn_ = static_cast<unsigned>(stableHash(options.self) % CompactionPolicy::turns);
+    cutTurn_ = static_cast<unsigned>(stableHash(options.self) % CompactionPolicy::staggerSlots);
     node_.emplace(std::move(options), std::move(stored), initial, timeNow());
     scheduleTick();
     return boost::outcome_v2::success();
--- a/src/gateway/cp_ledger_members.cpp
+++ b/src/gateway/cp_ledger_members.cpp
@@ -210,7 +210,7 @@
     // anything: a leader that a quorum without this VM has just confirmed has a term that is not below any that
     // this VM ever voted in, since every quorum of such a term shares a member with the confirming one.
     RaftStoredState blank;
-    blank.hard = {reply.group.term, std::string(unknownVote)};
+    blank.hard = {reply.group.term, std::string(unknownVotedFor)};
     parts_.log.info("ledger.joining", {{"leader", reply.group.leader}, {"term", reply.group.term}});
     static_cast<void>(startMember(std::move(blank)));
 }
--- a/tests/consensus/cp_compaction_policy.tests.cpp
+++ b/tests/consensus/cp_compaction_policy.tests.cpp
@@ -9,45 +9,45 @@
 
 constexpr std::size_t megabyte = 1U << 20U;
 
-//! A busy leader and a learner, in steps of a millisecond: bytes that are written, cut, sent and taken in.
-struct CatchUp {
-    //! What the group writes a second, and what the learner takes in a second of either kind.
-    double written = 2.0 * megabyte;
-    double taken = 6.0 * megabyte;
+//! Simulates, in steps of a millisecond, how a learner catches up with the log of a leader under load.
+struct LearnerCatchUp {
+    //! Bytes per second that the leader appends and that the learner receives.
+    double appendedPerSecond = 2.0 * megabyte;
+    double receivedPerSecond = 6.0 * megabyte;
     double snapshotBytes = 1.0 * megabyte;
-    //! What the leader writes before it has cut its log first, and since.
-    double firstLog = 7.5 * megabyte;
+    //! Size of the leader's log at the start.
+    double initialLogBytes = 7.5 * megabyte;
 
-    //! \returns snapshots that the learner was sent until it held everything; 0 if it did not within a minute
-    int snapshots(bool hasLaggingLearner) const
+    //! \returns snapshots sent until the learner has caught up; 0 if it has not within a minute
+    int countSnapshots(bool hasLaggingLearner) const
     {
         constexpr int minute = 60'000;
-        double end = firstLog;
-        double cutAt = 0;
-        double held = 0;
-        double left = snapshotBytes;
-        int sent = 1;
-        // The first snapshot holds nothing that the log does not.
-        double sentAt = cutAt;
+        double logEnd = initialLogBytes;
+        double compactedUpTo = 0;
+        double receivedUpTo = 0;
+        double snapshotBytesLeft = snapshotBytes;
+        int snapshotCount = 1;
+        // The first snapshot is empty: the log still holds all entries.
+        double snapshotEnd = compactedUpTo;
         for (int ms = 0; ms < minute; ++ms) {
-            end += written / 1000;
-            const CompactionPolicy cut {static_cast<std::size_t>(end - cutAt), static_cast<std::size_t>(snapshotBytes),
-                                        hasLaggingLearner, 0};
-            cutAt = cut.isDue() ? end : cutAt;
-            if (left > 0) {
-                left -= taken / 1000;
-                held = left <= 0 ? sentAt : held;
+            logEnd += appendedPerSecond / 1000;
+            const CompactionPolicy policy {static_cast<std::size_t>(logEnd - compactedUpTo),
+                                           static_cast<std::size_t>(snapshotBytes), hasLaggingLearner, 0};
+            compactedUpTo = policy.isDue() ? logEnd : compactedUpTo;
+            if (snapshotBytesLeft > 0) {
+                snapshotBytesLeft -= receivedPerSecond / 1000;
+                receivedUpTo = snapshotBytesLeft <= 0 ? snapshotEnd : receivedUpTo;
                 continue;
             }
-            if (held < cutAt) {
-                ++sent;
-                sentAt = cutAt;
-                left = snapshotBytes;
+            if (receivedUpTo < compactedUpTo) {
+                ++snapshotCount;
+                snapshotEnd = compactedUpTo;
+                snapshotBytesLeft = snapshotBytes;
                 continue;
             }
-            held = held + taken / 1000;
-            if (held >= end) {
-                return sent;
+            receivedUpTo = receivedUpTo + receivedPerSecond / 1000;
+            if (receivedUpTo >= logEnd) {
+                return snapshotCount;
             }
         }
         return 0;
@@ -56,38 +56,38 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(log_cut)
+BOOST_AUTO_TEST_SUITE(compaction_policy)
 
-// An operator empties a ledger VM in a busy hour. Its successor was sent a snapshot, and the log behind that was cut
-// before it had read on; it was sent the next one, and the next, and the order took 13 s instead of the 9 s there were.
-BOOST_AUTO_TEST_CASE(a_newcomer_to_a_busy_group_needs_one_snapshot)
+// Guards against a log that is compacted before a learner has received the entries that follow its snapshot.
+BOOST_AUTO_TEST_CASE(a_learner_of_a_group_under_load_needs_one_snapshot)
 {
-    const CatchUp busy;
-    BOOST_TEST(busy.snapshots(false) > 1);
-    BOOST_TEST(busy.snapshots(true) == 1);
+    const LearnerCatchUp catchUp;
+    BOOST_TEST(catchUp.countSnapshots(false) > 1);
+    BOOST_TEST(catchUp.countSnapshots(true) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_log_is_cut_at_its_bound_and_for_a_learner_at_twice_that)
+BOOST_AUTO_TEST_CASE(a_log_is_compacted_at_its_limit_or_at_twice_the_limit_for_a_lagging_learner)
 {
     const auto isDue = [](std::size_t bytes, std::size_t snapshotBytes, bool hasLaggingLearner) {
         return CompactionPolicy {bytes, snapshotBytes, hasLaggingLearner, 0}.isDue();
     };
-    BOOST_TEST(!isDue(CompactionPolicy::leastBytes - 1, 0, false));
-    BOOST_TEST(isDue(CompactionPolicy::leastBytes, 0, false));
-    BOOST_TEST(!isDue(CompactionPolicy::leastBytes, 0, true));
-    BOOST_TEST(isDue(2 * CompactionPolicy::leastBytes, 0, true));
-    // A state that is larger than that bounds the log by its own size.
-    BOOST_TEST(!isDue(CompactionPolicy::leastBytes, 3 * CompactionPolicy::leastBytes, false));
+    BOOST_TEST(!isDue(CompactionPolicy::minLogBytes - 1, 0, false));
+    BOOST_TEST(isDue(CompactionPolicy::minLogBytes, 0, false));
+    BOOST_TEST(!isDue(CompactionPolicy::minLogBytes, 0, true));
+    BOOST_TEST(isDue(2 * CompactionPolicy::minLogBytes, 0, true));
+    // The limit is the size of the snapshot if that is larger.
+    BOOST_TEST(!isDue(CompactionPolicy::minLogBytes, 3 * CompactionPolicy::minLogBytes, false));
 }
 
-// Entries lost their leader within 0.05 s of the moment in which all five members cut their logs.
-BOOST_AUTO_TEST_CASE(members_whose_turns_differ_cut_at_different_lengths)
+// Guards against compaction on all members at the same time, which delays heartbeats.
+BOOST_AUTO_TEST_CASE(members_with_different_slots_compact_at_different_log_sizes)
 {
-    const CompactionPolicy first {CompactionPolicy::leastBytes, 0, false, 0};
-    const CompactionPolicy second {CompactionPolicy::leastBytes, 0, false, 1};
+    const CompactionPolicy first {CompactionPolicy::minLogBytes, 0, false, 0};
+    const CompactionPolicy second {CompactionPolicy::minLogBytes, 0, false, 1};
     BOOST_TEST(first.isDue());
     BOOST_TEST(!second.isDue());
-    BOOST_TEST((CompactionPolicy {CompactionPolicy::leastBytes + CompactionPolicy::bytesATurn, 0, false, 1}.isDue()));
+    BOOST_TEST(
+        (CompactionPolicy {CompactionPolicy::minLogBytes + CompactionPolicy::staggerBytes, 0, false, 1}.isDue()));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/consensus/cp_raft_election_timeout.tests.cpp
+++ b/tests/consensus/cp_raft_election_timeout.tests.cpp
@@ -8,21 +8,21 @@
 {
 
 constexpr Milliseconds heartbeat {30};
-const TimePoint begun = TimePoint() + std::chrono::hours(1);
+const TimePoint startTime = TimePoint() + std::chrono::hours(1);
 
-//! A follower of vm-1, whose election timeout may be 100 to 300 ms.
+//! A follower of vm-1 with a base election timeout between 100 and 300 ms.
 class Follower
 {
 public:
     Follower()
-        : node(options(), {}, {{"vm-1", "vm-2", "vm-3"}, {}}, begun)
+        : node(options(), {}, {{"vm-1", "vm-2", "vm-3"}, {}}, startTime)
     {
     }
-    //! Hears from the leader at a pace, the last time at now.
-    void hear(Milliseconds pace, int times)
+    //! Delivers heartbeats of the leader at an interval, the last one at now.
+    void receiveHeartbeats(Milliseconds interval, int times)
     {
         for (int i = 0; i < times; ++i) {
-            now += pace;
+            now += interval;
             RaftMessage append;
             append.type = RaftMessageType::Append;
             append.from = "vm-1";
@@ -32,8 +32,8 @@
             static_cast<void>(node.takeReady());
         }
     }
-    //! \returns after how long without the leader it starts an election
-    Milliseconds silenceUntilElection()
+    //! \returns time without heartbeats after which the follower starts an election
+    Milliseconds timeUntilElection()
     {
         constexpr Milliseconds step {10};
         for (Milliseconds silence = step;; silence += step) {
@@ -45,7 +45,7 @@
     }
 
     RaftNode node;
-    TimePoint now = begun;
+    TimePoint now = startTime;
 
 private:
     static RaftOptions options()
@@ -63,32 +63,30 @@
 
 BOOST_AUTO_TEST_SUITE(raft_election_timeout)
 
-// The leader's VM freezes. All programs wait until another leads, so a follower that heard it every 30 ms until now
-// must not wait for as long as one that knows nothing of it: that was 0.3 to 0.6 s.
-BOOST_AUTO_TEST_CASE(a_leader_that_was_heard_often_is_missed_soon)
+// Guards against a slow failover: with regular heartbeats, the timeout must be shorter than the configured maximum.
+BOOST_AUTO_TEST_CASE(regular_heartbeats_shorten_the_election_timeout)
 {
     Follower follower;
-    follower.hear(heartbeat, 20);
-    const Milliseconds silence = follower.silenceUntilElection();
+    follower.receiveHeartbeats(heartbeat, 20);
+    const Milliseconds silence = follower.timeUntilElection();
     BOOST_TEST(silence.count() >= 100);
     BOOST_TEST(silence.count() <= 210);
 }
 
-// A leader with little processor time stands still for a tenth of a second, again and again. An election each time
-// would stop all turns more often than a loss does.
-BOOST_AUTO_TEST_CASE(a_leader_that_pauses_again_and_again_is_given_more_time)
+// Guards against repeated elections when the leader is throttled and pauses regularly.
+BOOST_AUTO_TEST_CASE(repeated_pauses_of_the_leader_extend_the_election_timeout)
 {
     Follower follower;
-    follower.hear(heartbeat, 10);
-    follower.hear(Milliseconds(140), 3);
-    BOOST_TEST(follower.silenceUntilElection().count() >= 210);
+    follower.receiveHeartbeats(heartbeat, 10);
+    follower.receiveHeartbeats(Milliseconds(140), 3);
+    BOOST_TEST(follower.timeUntilElection().count() >= 210);
 }
 
 BOOST_AUTO_TEST_CASE(the_longest_election_timeout_is_never_exceeded)
 {
     Follower follower;
-    follower.hear(Milliseconds(900), 3);
-    BOOST_TEST(follower.silenceUntilElection().count() <= 610);
+    follower.receiveHeartbeats(Milliseconds(900), 3);
+    BOOST_TEST(follower.timeUntilElection().count() <= 610);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/consensus/cp_raft_node.tests.cpp
+++ b/tests/consensus/cp_raft_node.tests.cpp
@@ -10,7 +10,7 @@
 
 const std::vector<VmName> threeVms {"vm-1", "vm-2", "vm-3"};
 
-void cutOff(RaftCluster &cluster, const VmName &name)
+void isolate(RaftCluster &cluster, const VmName &name)
 {
     for (const auto &[other, member] : cluster.members) {
         cluster.network.cuts.insert({name, other});
@@ -23,8 +23,8 @@
     return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-//! Runs a leader-to-be whose vm-2 agrees to all, and whose vm-3 is silent.
-void exchangeWithSecond(RaftNode &node, TimePoint now)
+//! Answers all requests to vm-2 positively and drops all messages to vm-3.
+void exchangeWithVm2(RaftNode &node, TimePoint now)
 {
     while (node.hasReady()) {
         const RaftReady ready = node.takeReady();
@@ -75,30 +75,27 @@
     }
 }
 
-// An operator's change is accepted by a leader that is cut off from the others without any connection closing. It
-// answers nothing, the others elect a new leader, and the operator sends the change there. When the first leader is
-// back, its own copy must be gone, and it must have stopped leading long before.
+// Guards against a partitioned leader that keeps its role, or later commits an entry that was never acknowledged.
 BOOST_AUTO_TEST_CASE(a_leader_behind_a_silent_partition_steps_down_and_its_uncommitted_entry_is_dropped)
 {
     const ThrowingInvariants guard;
     RaftCluster cluster(threeVms, 2);
-    RaftCluster::Member *old = cluster.waitForLeader();
-    BOOST_REQUIRE(old != nullptr);
-    cutOff(cluster, old->name);
-    BOOST_TEST(cluster.propose(*old, "lost"));
+    RaftCluster::Member *deposed = cluster.waitForLeader();
+    BOOST_REQUIRE(deposed != nullptr);
+    isolate(cluster, deposed->name);
+    BOOST_TEST(cluster.propose(*deposed, "lost"));
     cluster.run(Milliseconds(3000));
-    BOOST_TEST((old->node->role() != RaftRole::Leader));
+    BOOST_TEST((deposed->node->role() != RaftRole::Leader));
     RaftCluster::Member *next = cluster.waitForLeader();
     BOOST_REQUIRE(next != nullptr);
-    BOOST_TEST(next->name != old->name);
+    BOOST_TEST(next->name != deposed->name);
     BOOST_TEST(cluster.propose(*next, "kept"));
     cluster.network.cuts.clear();
     cluster.run(Milliseconds(3000));
-    BOOST_TEST(old->applied == (std::vector<std::string> {"kept"}), boost::test_tools::per_element());
+    BOOST_TEST(deposed->applied == (std::vector<std::string> {"kept"}), boost::test_tools::per_element());
 }
 
-// A VM that was cut off for minutes has started elections all the while. When it is back, a higher term of its own
-// would depose the leader that everybody follows, and operators would see an outage for each VM that returns.
+// Guards against an outage whenever a member returns from a partition: without pre-vote, it would have a higher term.
 BOOST_AUTO_TEST_CASE(a_member_that_returns_does_not_depose_the_leader)
 {
     const ThrowingInvariants guard;
@@ -106,8 +103,8 @@
     RaftCluster::Member *leader = cluster.waitForLeader();
     BOOST_REQUIRE(leader != nullptr);
     const Term term = leader->node->term();
-    const VmName away = leader->name == "vm-1" ? "vm-2" : "vm-1";
-    cutOff(cluster, away);
+    const VmName isolated = leader->name == "vm-1" ? "vm-2" : "vm-1";
+    isolate(cluster, isolated);
     cluster.run(Milliseconds(30'000));
     cluster.network.cuts.clear();
     cluster.run(Milliseconds(3000));
@@ -115,28 +112,26 @@
     BOOST_TEST(leader->node->term() == term);
 }
 
-// An operator reads the configuration from a leader that has been replaced without knowing it, and sees a version
-// from before a change that another operator was already told of.
+// Guards against stale reads from a leader that has been replaced without noticing it.
 BOOST_AUTO_TEST_CASE(a_deposed_leader_confirms_no_read)
 {
     const ThrowingInvariants guard;
     RaftCluster cluster(threeVms, 4);
-    RaftCluster::Member *old = cluster.waitForLeader();
-    BOOST_REQUIRE(old != nullptr);
-    BOOST_TEST(old->node->requestRead(7).has_value());
-    cluster.drive(*old);
+    RaftCluster::Member *deposed = cluster.waitForLeader();
+    BOOST_REQUIRE(deposed != nullptr);
+    BOOST_TEST(deposed->node->requestRead(7).has_value());
+    cluster.drive(*deposed);
     cluster.run(Milliseconds(300));
-    BOOST_TEST(old->reads.contains(7));
-    cutOff(cluster, old->name);
-    const bool isTaken = old->node->requestRead(8).has_value();
-    cluster.drive(*old);
+    BOOST_TEST(deposed->reads.contains(7));
+    isolate(cluster, deposed->name);
+    const bool isAccepted = deposed->node->requestRead(8).has_value();
+    cluster.drive(*deposed);
     cluster.run(Milliseconds(3000));
-    BOOST_TEST(isTaken);
-    BOOST_TEST(!old->reads.contains(8));
+    BOOST_TEST(isAccepted);
+    BOOST_TEST(!deposed->reads.contains(8));
 }
 
-// A VM is replaced, and another one is lost right after. If the new VM had counted towards the quorum before it held
-// the log, a committed entry could now be on no VM that is left.
+// Guards against losing a committed entry when a VM fails right after another one was replaced.
 BOOST_AUTO_TEST_CASE(a_learner_becomes_a_voter_only_when_it_has_caught_up)
 {
     const ThrowingInvariants guard;
@@ -148,7 +143,7 @@
         cluster.run(Milliseconds(20));
     }
     cluster.addMember("vm-4");
-    cutOff(cluster, "vm-4");
+    isolate(cluster, "vm-4");
     Membership next = leader->node->membership();
     next.learners.insert("vm-4");
     BOOST_REQUIRE(leader->node->proposeMembership(next).has_value());
@@ -168,7 +163,7 @@
     BOOST_TEST(leader->node->membership().voters.size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(members_change_by_one_voter_at_a_time)
+BOOST_AUTO_TEST_CASE(a_membership_change_of_more_than_one_voter_is_rejected)
 {
     const ThrowingInvariants guard;
     RaftCluster cluster(threeVms, 6);
@@ -181,16 +176,15 @@
     BOOST_TEST((refused.error().kind == ErrorKind::InvalidRequest));
 }
 
-// A keeper was down while hundreds of changes passed and the others have compacted their logs. It gets the state in
-// pieces, of which some are lost or come twice.
+// The snapshot transfer has to tolerate lost and duplicate pieces.
 BOOST_AUTO_TEST_CASE(a_member_that_is_hundreds_of_entries_behind_gets_a_snapshot_in_pieces)
 {
     const ThrowingInvariants guard;
     RaftCluster cluster(threeVms, 7);
     RaftCluster::Member *leader = cluster.waitForLeader();
     BOOST_REQUIRE(leader != nullptr);
-    const VmName away = leader->name == "vm-1" ? "vm-2" : "vm-1";
-    cluster.crash(away);
+    const VmName isolated = leader->name == "vm-1" ? "vm-2" : "vm-1";
+    cluster.crash(isolated);
     for (int i = 0; i < 300; ++i) {
         cluster.propose(*leader, "change-" + std::to_string(i));
         cluster.run(Milliseconds(25));
@@ -198,9 +192,9 @@
     BOOST_TEST(leader->node->log().snapshot().index > 0U);
     cluster.network.lossShare = 0.1;
     cluster.network.doubleShare = 0.1;
-    cluster.restart(away);
+    cluster.restart(isolated);
     cluster.run(Milliseconds(30'000));
-    BOOST_TEST(cluster.members.at(away)->applied.size() == 300U);
+    BOOST_TEST(cluster.members.at(isolated)->applied.size() == 300U);
 }
 
 BOOST_AUTO_TEST_CASE(leadership_moves_to_a_member_that_is_asked_to_take_over)
@@ -220,8 +214,7 @@
     BOOST_TEST(next->name == target);
 }
 
-// A keeper's disk is full: it must stop answering, and the others go on without it.
-BOOST_AUTO_TEST_CASE(a_member_whose_disk_is_full_stops_and_the_others_go_on)
+BOOST_AUTO_TEST_CASE(a_member_whose_disk_is_full_stops_and_the_others_continue)
 {
     const ThrowingInvariants guard;
     RaftCluster cluster(threeVms, 9);
@@ -238,9 +231,7 @@
     BOOST_TEST(!isIn(next->applied, "never"));
 }
 
-// A ledger VM freezes for three seconds while others write a lot. When it is back, it rejects each heartbeat that had
-// queued up for it. The leader answered every rejection, and every confirmed read, with the same megabyte of entries
-// once more, and was killed for its memory.
+// Guards against unbounded memory use of a leader that answers each rejected heartbeat with the same entries.
 BOOST_AUTO_TEST_CASE(a_member_that_has_to_be_probed_is_sent_no_entries_until_its_end_is_known)
 {
     RaftOptions options;
@@ -249,33 +240,31 @@
     RaftNode node(options, {}, {{threeVms.begin(), threeVms.end()}, {}}, now);
     now += Milliseconds(2000);
     node.tick(now);
-    exchangeWithSecond(node, now);
+    exchangeWithVm2(node, now);
     BOOST_REQUIRE((node.role() == RaftRole::Leader));
     for (int i = 0; i < 50; ++i) {
         BOOST_REQUIRE(node.propose(std::string(10'000, 'x')).has_value());
     }
-    exchangeWithSecond(node, now);
+    exchangeWithVm2(node, now);
     RaftMessage rejection;
     rejection.type = RaftMessageType::AppendReply;
     rejection.from = "vm-3";
     rejection.to = "vm-1";
     rejection.term = node.term();
-    std::size_t bytesToSilent = 0;
+    std::size_t bytesToVm3 = 0;
     for (int i = 0; i < 30; ++i) {
         node.step(now, rejection);
         for (const RaftMessage &message : node.takeReady().messages) {
             for (const LogEntry &item : message.entries) {
-                bytesToSilent += message.to == "vm-3" ? item.payload.size() : 0;
+                bytesToVm3 += message.to == "vm-3" ? item.payload.size() : 0;
             }
         }
     }
-    BOOST_TEST(bytesToSilent == 0U);
+    BOOST_TEST(bytesToVm3 == 0U);
 }
 
-// A ledger VM comes back without its disk and needs the snapshot. While its answer is on the way, the leader sent the
-// same piece of 256 KB again with every proposal and every confirmed read, a thousand times a second, and was killed
-// for its memory; the next leader did the same.
-BOOST_AUTO_TEST_CASE(a_piece_of_a_snapshot_is_not_sent_again_before_it_can_have_been_answered)
+// Guards against unbounded memory use of a leader that sends the same piece with every proposal and read.
+BOOST_AUTO_TEST_CASE(a_snapshot_piece_is_not_sent_again_while_its_reply_is_pending)
 {
     RaftOptions options;
     options.self = "vm-1";
@@ -283,9 +272,9 @@
     RaftNode node(options, {}, {{threeVms.begin(), threeVms.end()}, {}}, now);
     now += Milliseconds(2000);
     node.tick(now);
-    exchangeWithSecond(node, now);
+    exchangeWithVm2(node, now);
     BOOST_REQUIRE(node.propose("x").has_value());
-    exchangeWithSecond(node, now);
+    exchangeWithVm2(node, now);
     node.compact(node.commitIndex(), std::string(300'000, 's'));
     BOOST_REQUIRE(node.log().snapshot().index == node.commitIndex());
     BOOST_REQUIRE(node.commitIndex() > 0);
@@ -308,7 +297,7 @@
         countPieces();
     }
     BOOST_TEST(pieces == 1U);
-    // Lost on the way, it comes again.
+    // A lost piece is sent again.
     now += Milliseconds(250);
     node.tick(now);
     countPieces();
--- a/tests/support/cp_raft_cluster.hpp
+++ b/tests/support/cp_raft_cluster.hpp
@@ -16,7 +16,7 @@
 namespace cardamompost::tests
 {
 
-//! Thrown by a broken invariant, inside the program or in a checker.
+//! Thrown for a violated invariant of the program or of a checker.
 struct Violation : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -26,7 +26,7 @@
     throw Violation(std::string(text));
 }
 
-//! Makes broken invariants throw while it lives.
+//! Makes violated invariants throw during its lifetime.
 class ThrowingInvariants
 {
 public:
@@ -42,8 +42,8 @@
     ThrowingInvariants &operator=(const ThrowingInvariants &) = delete;
 };
 
-//! Members of one consensus group in virtual time, each with its own clock rate and disk, and a checker of what all
-//! of them apply.
+//! Simulates a consensus group in virtual time, each member with its own clock rate and disk, and checks that all
+//! members apply the same commands.
 class RaftCluster
 {
 public:
@@ -94,7 +94,7 @@
     {
         Result<LogStore> opened = LogStore::open(member.files, {4096, 0.5});
         if (!opened) {
-            throw Violation("the store does not open: " + opened.error().message);
+            throw Violation("the store cannot be opened: " + opened.error().message);
         }
         member.store = std::make_unique<LogStore>(std::move(opened.value()));
         RaftStoredState stored = member.store->loadRaft(controlGroup).value();
@@ -127,7 +127,7 @@
         network.runUntil(network.now + time);
     }
 
-    //! The member that leads in the highest term; null for none.
+    //! The leader with the highest term; null if there is none.
     Member *leader()
     {
         Member *found = nullptr;
@@ -155,11 +155,11 @@
 
     bool propose(Member &member, const std::string &command)
     {
-        const bool isTaken = member.node && member.node->propose(command).has_value();
-        if (isTaken) {
+        const bool isAccepted = member.node && member.node->propose(command).has_value();
+        if (isAccepted) {
             drive(member);
         }
-        return isTaken;
+        return isAccepted;
     }
 
     void drive(Member &member)
@@ -171,7 +171,7 @@
                 return;
             }
             for (RaftMessage &message : ready.messages) {
-                deliverLater(std::move(message));
+                sendMessage(std::move(message));
             }
             for (const LogEntry &entry : ready.committed) {
                 apply(member, entry);
@@ -186,8 +186,8 @@
         }
     }
 
-    //! True when every running member has applied the same.
-    bool isSettled() const
+    //! True when all running members have applied the same commands.
+    bool hasConverged() const
     {
         const std::vector<std::string> *first = nullptr;
         for (const auto &[name, member] : members) {
@@ -206,10 +206,10 @@
     TimePoint startedAt;
     Membership initial;
     std::map<VmName, std::unique_ptr<Member>> members;
-    //! The commands that some member has applied, in order: all others must apply the same.
-    std::vector<std::string> agreed;
+    //! The longest sequence of commands that any member has applied.
+    std::vector<std::string> longestApplied;
     LogIndex compactAfter = 40;
-    std::map<Term, VmName> leaders;
+    std::map<Term, VmName> leaderByTerm;
 
 private:
     bool storeReady(Member &member, const RaftReady &ready)
@@ -238,7 +238,7 @@
         return true;
     }
 
-    void deliverLater(RaftMessage message)
+    void sendMessage(RaftMessage message)
     {
         const VmName from = message.from;
         const VmName to = message.to;
@@ -272,9 +272,10 @@
         if (!member.node || member.node->role() != RaftRole::Leader) {
             return;
         }
-        const auto [place, isNew] = leaders.emplace(member.node->term(), member.name);
+        const auto [place, isNew] = leaderByTerm.emplace(member.node->term(), member.name);
         if (!isNew && place->second != member.name) {
-            throw Violation(fmt::format("{} and {} lead in term {}", place->second, member.name, member.node->term()));
+            throw Violation(
+                fmt::format("{} and {} are both leaders in term {}", place->second, member.name, member.node->term()));
         }
     }
 
@@ -292,11 +293,11 @@
 
     void checkApplied(const Member &member)
     {
-        for (std::size_t i = agreed.size(); i < member.applied.size(); ++i) {
-            agreed.push_back(member.applied[i]);
+        for (std::size_t i = longestApplied.size(); i < member.applied.size(); ++i) {
+            longestApplied.push_back(member.applied[i]);
         }
-        if (!std::equal(member.applied.begin(), member.applied.end(), agreed.begin())) {
-            throw Violation(member.name + " applied something else than the others");
+        if (!std::equal(member.applied.begin(), member.applied.end(), longestApplied.begin())) {
+            throw Violation(member.name + " applied other commands than the other members");
         }
     }
 
--- a/tests/support/cp_raft_storm.hpp
+++ b/tests/support/cp_raft_fault_simulation.hpp
@@ -1,13 +1,13 @@
-#ifndef CARDAMOMPOST_TESTS_CP_RAFT_STORM_HPP_INCLUDED
-#define CARDAMOMPOST_TESTS_CP_RAFT_STORM_HPP_INCLUDED
+#ifndef CARDAMOMPOST_TESTS_CP_RAFT_FAULT_SIMULATION_HPP_INCLUDED
+#define CARDAMOMPOST_TESTS_CP_RAFT_FAULT_SIMULATION_HPP_INCLUDED
 
 #include "cp_raft_cluster.hpp"
 
 namespace cardamompost::tests
 {
 
-//! What a randomised run did.
-struct StormResult {
+//! Counters of a simulation run.
+struct FaultSimulationResult {
     std::size_t acknowledged = 0;
     std::size_t crashes = 0;
     std::size_t cuts = 0;
@@ -17,38 +17,38 @@
     Milliseconds virtualTime {0};
 };
 
-//! Breaks things at random for a while, then lets the group settle, and checks that nothing that a client was told
-//! of is lost. Throws Violation.
-class RaftStorm
+//! Injects random faults into a consensus group, then lets it recover and checks that no acknowledged command is lost.
+//! Throws Violation.
+class RaftFaultSimulation
 {
 public:
-    RaftStorm(std::uint64_t seed, std::size_t memberCount)
+    RaftFaultSimulation(std::uint64_t seed, std::size_t memberCount)
         : cluster_(names(memberCount), seed)
     {
     }
 
-    //! VMs also lose their disks.
+    //! Members also lose their disks.
     bool wipes = false;
-    //! Planted fault: a VM without its disk votes as if it were new.
-    bool forgetsVotes = false;
-    //! Planted fault: a VM without its disk follows any leader, also a deposed one.
-    bool forgetsTerms = false;
+    //! Injected defect: a member that has lost its disk votes as if it were new.
+    bool votesAfterDiskLoss = false;
+    //! Injected defect: a member that has lost its disk follows any leader, also a deposed one.
+    bool forgetsTermAfterDiskLoss = false;
 
     RaftCluster &cluster()
     {
         return cluster_;
     }
 
-    StormResult run(int steps)
+    FaultSimulationResult run(int steps)
     {
         for (int step = 0; step < steps; ++step) {
-            breakSomething();
-            proposeSomething(step);
-            readSomething(step);
+            injectRandomFault();
+            proposeCommand(step);
+            checkAndRequestReads(step);
             cluster_.run(Milliseconds(50));
-            noteAcknowledged();
+            collectAcknowledged();
         }
-        settle();
+        recoverAndVerify();
         return result_;
     }
 
@@ -62,24 +62,24 @@
         return names;
     }
 
-    RaftCluster::Member &any()
+    RaftCluster::Member &randomMember()
     {
         auto place = cluster_.members.begin();
         std::advance(place, static_cast<std::ptrdiff_t>(cluster_.network.random() % cluster_.members.size()));
         return *place->second;
     }
 
-    void breakSomething()
+    void injectRandomFault()
     {
         FakeNetwork &network = cluster_.network;
-        RaftCluster::Member &member = any();
+        RaftCluster::Member &member = randomMember();
         if (network.chance(0.02)) {
             member.node ? cluster_.crash(member.name) : cluster_.restart(member.name);
             ++result_.crashes;
         } else if (wipes && network.chance(0.01)) {
             wipe(member);
         } else if (network.chance(0.03)) {
-            network.cuts.insert({member.name, any().name});
+            network.cuts.insert({member.name, randomMember().name});
             ++result_.cuts;
         } else if (network.chance(0.05)) {
             network.cuts.clear();
@@ -94,7 +94,7 @@
         }
     }
 
-    //! What a VM learns from the others before it takes part again: from as many as share a member with every quorum.
+    //! Highest term among as many other members as intersect every quorum.
     Term highestTermOfOthers(const VmName &self)
     {
         std::vector<Term> terms;
@@ -108,8 +108,8 @@
         return *std::max_element(terms.begin(), terms.end());
     }
 
-    //! A VM loses its disk, and comes back knowing only that its system exists. One at a time: two lost disks of three
-    //! are more than a quorum can stand.
+    //! Restarts a member with an empty disk. Skipped while another one recovers, since a group of three tolerates the
+    //! loss of one disk only.
     void wipe(RaftCluster::Member &member)
     {
         const auto isInitialized
@@ -117,24 +117,23 @@
         if (!std::all_of(cluster_.members.begin(), cluster_.members.end(), isInitialized)) {
             return;
         }
-        // What it had acknowledged to clients itself is known to the checker through the others from now on.
         cluster_.crash(member.name);
         member.files = MemoryFiles();
         LogStore store = LogStore::open(member.files).value();
         LogBatch batch;
         batch.putHardState(controlGroup,
-                           {forgetsTerms ? 0 : highestTermOfOthers(member.name),
-                            std::string(forgetsVotes ? std::string_view {} : unknownVote)});
+                           {forgetsTermAfterDiskLoss ? 0 : highestTermOfOthers(member.name),
+                            std::string(votesAfterDiskLoss ? std::string_view {} : unknownVotedFor)});
         if (!store.write(batch)) {
-            throw Violation("the new disk can't be written");
+            throw Violation("writing to the new disk failed");
         }
         cluster_.restart(member.name);
         ++result_.wipes;
     }
 
-    void proposeSomething(int step)
+    void proposeCommand(int step)
     {
-        RaftCluster::Member &member = any();
+        RaftCluster::Member &member = randomMember();
         const std::string command = std::to_string(step);
         if (member.node && network().now >= member.pausedUntil && member.node->role() == RaftRole::Leader
             && cluster_.propose(member, command)) {
@@ -142,8 +141,8 @@
         }
     }
 
-    //! A client is told of its command when the member that took it has applied it.
-    void noteAcknowledged()
+    //! A command is acknowledged once the member that accepted it has applied it.
+    void collectAcknowledged()
     {
         for (auto item = proposed_.begin(); item != proposed_.end();) {
             const std::vector<std::string> &applied = cluster_.members.at(item->second)->applied;
@@ -156,8 +155,8 @@
         }
     }
 
-    //! A read has to see every command that was acknowledged before it was asked for.
-    void readSomething(int step)
+    //! A read has to see every command that was acknowledged before it was requested.
+    void checkAndRequestReads(int step)
     {
         for (auto &[name, member] : cluster_.members) {
             for (const auto &[id, index] : member->reads) {
@@ -186,7 +185,7 @@
         return acknowledged_.empty() ? 0 : index;
     }
 
-    void settle()
+    void recoverAndVerify()
     {
         FakeNetwork &net = network();
         net.cuts.clear();
@@ -198,15 +197,15 @@
         const TimePoint end = net.now + Milliseconds(60'000);
         do {
             cluster_.run(Milliseconds(500));
-        } while (net.now < end && !(cluster_.waitForLeader() != nullptr && cluster_.isSettled()));
-        noteAcknowledged();
-        if (!cluster_.isSettled()) {
-            throw Violation("the members do not settle on one state");
+        } while (net.now < end && !(cluster_.waitForLeader() != nullptr && cluster_.hasConverged()));
+        collectAcknowledged();
+        if (!cluster_.hasConverged()) {
+            throw Violation("the members do not converge to the same state");
         }
         const std::vector<std::string> &state = cluster_.leader()->applied;
         for (const std::string &command : acknowledged_) {
             if (std::count(state.begin(), state.end(), command) != 1) {
-                throw Violation("acknowledged command " + command + " is not in the state once");
+                throw Violation("acknowledged command " + command + " is not applied exactly once");
             }
         }
         result_.acknowledged = acknowledged_.size();
@@ -219,7 +218,7 @@
     }
 
     RaftCluster cluster_;
-    StormResult result_;
+    FaultSimulationResult result_;
     std::map<std::string, VmName> proposed_;
     std::vector<std::string> acknowledged_;
     std::map<std::uint64_t, LogIndex> readExpectations_;
@@ -227,4 +226,4 @@
 
 } // namespace cardamompost::tests
 
-#endif // CARDAMOMPOST_TESTS_CP_RAFT_STORM_HPP_INCLUDED
+#endif // CARDAMOMPOST_TESTS_CP_RAFT_FAULT_SIMULATION_HPP_INCLUDED
