--- a/tests/platform/cp_platform_documents.tests.cpp
+++ b/tests/platform/cp_platform_documents.tests.cpp
@@ -80,10 +80,10 @@
     constexpr int routes = 5000;
     System system;
     system.putDocument(3, routes);
-    system.link.holdUp(Milliseconds(120));
+    system.link.delayChunks(Milliseconds(120));
     const Address entry = system.startEntry(system.seeds()).front;
     BOOST_TEST(System::eventually([&] { return system.readiness(0) == 200; }));
-    system.link.holdUp(Milliseconds(0));
+    system.link.delayChunks(Milliseconds(0));
     BOOST_TEST(isServed(system, entry, routes));
 }
 
--- a/tests/platform/cp_platform_faults.tests.cpp
+++ b/tests/platform/cp_platform_faults.tests.cpp
@@ -124,7 +124,7 @@
     system.putDocument(3);
     const Address entry = system.addEntry(system.seeds());
     BOOST_TEST(system.turn(entry, "q1", {}).status == 200U);
-    system.link.forget();
+    system.link.blackholeOpenConnections();
     BOOST_TEST(system.turn(entry, "q2", "q1").status == 200U);
     BOOST_TEST(system.stage.bodyOf("q2") == "in-q1;a-q1\nb-q1\nin-q2;");
 }
@@ -249,7 +249,7 @@
     System system;
     system.putDocument(3);
     const Address entry = system.addEntry(system.seeds());
-    system.link.holdUp(Milliseconds(120));
+    system.link.delayChunks(Milliseconds(120));
     std::string previous;
     std::string history;
     int allTries = 0;
@@ -269,7 +269,7 @@
         history += "in-" + id + ";a-" + id + "\nb-" + id + "\n";
         previous = id;
     }
-    system.link.holdUp(Milliseconds(0));
+    system.link.delayChunks(Milliseconds(0));
     BOOST_TEST(system.turn(entry, "l-spent", previous, turns * tokensOfTurn).status == 402U);
     const int spentAtMost = allTries * tokensOfTurn;
     BOOST_TEST(System::eventually(
@@ -329,7 +329,7 @@
     const std::size_t leader = system.putDocument(3);
     const Address entry = system.addEntry(system.seeds());
     BOOST_TEST(system.turn(entry, "f1", {}).status == 200U);
-    system.disks[leader]->refuses = true;
+    system.disks[leader]->failWrites = true;
     BOOST_TEST(System::eventually([&] { return system.turn(entry, "f2", "f1").status == 200; }));
     BOOST_TEST(System::eventually([&] { return system.running[leader]->hasEnded(); }));
     BOOST_TEST(system.running[leader]->exitCode() == Gateway::exitDiskFailed);
@@ -337,7 +337,7 @@
     system.restartLedger(leader);
     BOOST_TEST(System::eventually([&] { return system.logged("disk.failed") >= 3; }));
     BOOST_TEST(!system.running[leader]->hasEnded());
-    system.disks[leader]->refuses = false;
+    system.disks[leader]->failWrites = false;
     BOOST_TEST(System::eventually([&] { return system.logged("ledger.started") >= system.ledgers.size() + 1; }));
     system.restartLedger((leader + 1) % system.ledgers.size(), false);
     BOOST_TEST(System::eventually([&] { return system.turn(entry, "f3", "f1").status == 200; }));
--- a/tests/platform/cp_platform_outages.tests.cpp
+++ b/tests/platform/cp_platform_outages.tests.cpp
@@ -171,7 +171,7 @@
     }
     BOOST_TEST(System::eventually([&] { return system.logged("ledger.compacted") >= system.ledgers.size(); }));
     for (const auto &disk : system.disks) {
-        BOOST_TEST(disk->largestSync.load() <= most);
+        BOOST_TEST(disk->largestSyncBytes.load() <= most);
     }
 }
 
--- a/tests/support/cp_conducted_files.hpp
+++ b/tests/support/cp_fault_injecting_files.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_TESTS_CP_CONDUCTED_FILES_HPP_INCLUDED
-#define CARDAMOMPOST_TESTS_CP_CONDUCTED_FILES_HPP_INCLUDED
+#ifndef CARDAMOMPOST_TESTS_CP_FAULT_INJECTING_FILES_HPP_INCLUDED
+#define CARDAMOMPOST_TESTS_CP_FAULT_INJECTING_FILES_HPP_INCLUDED
 
 #include <cardamompost/storage/cp_posix_files.hpp>
 
@@ -11,25 +11,25 @@
 namespace cardamompost::tests
 {
 
-//! What a disk does, and what it was asked to.
-struct DiskConduct {
-    //! It refuses all writes, as a full one does.
-    std::atomic<bool> refuses {false};
-    //! How long each sync takes besides, in milliseconds.
+//! Faults to inject into a disk, and statistics of its use.
+struct DiskFaults {
+    //! All writes fail, as on a full disk.
+    std::atomic<bool> failWrites {false};
+    //! Delay added to each sync.
     std::atomic<int> syncDelayMs {0};
-    //! Most bytes that one sync had to wait for.
-    std::atomic<std::size_t> largestSync {0};
+    //! Largest amount of data written by a single sync.
+    std::atomic<std::size_t> largestSyncBytes {0};
 };
 
-//! A folder of the machine whose disk behaves as it is told to.
-class ConductedFiles : public IFiles
+//! Injects write errors and slow syncs into another folder.
+class FaultInjectingFiles : public IFiles
 {
 public:
-    using Conduct = std::shared_ptr<DiskConduct>;
+    using SharedFaults = std::shared_ptr<DiskFaults>;
 
-    ConductedFiles(std::unique_ptr<IFiles> files, Conduct conduct)
+    FaultInjectingFiles(std::unique_ptr<IFiles> files, SharedFaults faults)
         : files_(std::move(files))
-        , conduct_(std::move(conduct))
+        , faults_(std::move(faults))
     {
     }
 
@@ -40,7 +40,7 @@
     [[nodiscard]] Result<std::unique_ptr<IFile>> open(const std::string &name) override
     {
         BOOST_OUTCOME_TRY(auto file, files_->open(name));
-        return std::unique_ptr<IFile>(std::make_unique<File>(std::move(file), conduct_));
+        return std::unique_ptr<IFile>(std::make_unique<File>(std::move(file), faults_));
     }
     Result<void> remove(const std::string &name) override
     {
@@ -55,14 +55,14 @@
     class File : public IFile
     {
     public:
-        File(std::unique_ptr<IFile> file, Conduct conduct)
+        File(std::unique_ptr<IFile> file, SharedFaults faults)
             : file_(std::move(file))
-            , conduct_(std::move(conduct))
+            , faults_(std::move(faults))
         {
         }
         Result<void> append(std::string_view bytes) override
         {
-            if (conduct_->refuses) {
+            if (faults_->failWrites) {
                 return makeError(ErrorKind::StorageFailed, "no space left on the disk");
             }
             unsynced_ += bytes.size();
@@ -70,8 +70,8 @@
         }
         Result<void> sync() override
         {
-            conduct_->largestSync = std::max(conduct_->largestSync.load(), std::exchange(unsynced_, 0));
-            std::this_thread::sleep_for(std::chrono::milliseconds(conduct_->syncDelayMs.load()));
+            faults_->largestSyncBytes = std::max(faults_->largestSyncBytes.load(), std::exchange(unsynced_, 0));
+            std::this_thread::sleep_for(std::chrono::milliseconds(faults_->syncDelayMs.load()));
             return file_->sync();
         }
         Result<std::string> readAt(std::uint64_t offset, std::size_t length) override
@@ -89,14 +89,14 @@
 
     private:
         std::unique_ptr<IFile> file_;
-        Conduct conduct_;
+        SharedFaults faults_;
         std::size_t unsynced_ = 0;
     };
 
     std::unique_ptr<IFiles> files_;
-    Conduct conduct_;
+    SharedFaults faults_;
 };
 
 } // namespace cardamompost::tests
 
-#endif // CARDAMOMPOST_TESTS_CP_CONDUCTED_FILES_HPP_INCLUDED
+#endif // CARDAMOMPOST_TESTS_CP_FAULT_INJECTING_FILES_HPP_INCLUDED
--- a/tests/support/cp_forgetful_link.hpp
+++ b/tests/support/cp_fault_injecting_proxy.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_TESTS_CP_FORGETFUL_LINK_HPP_INCLUDED
-#define CARDAMOMPOST_TESTS_CP_FORGETFUL_LINK_HPP_INCLUDED
+#ifndef CARDAMOMPOST_TESTS_CP_FAULT_INJECTING_PROXY_HPP_INCLUDED
+#define CARDAMOMPOST_TESTS_CP_FAULT_INJECTING_PROXY_HPP_INCLUDED
 
 #include <cardamompost/config/cp_section_reader.hpp>
 #include <cardamompost/core/cp_time.hpp>
@@ -22,52 +22,51 @@
 namespace cardamompost::tests
 {
 
-//! Passes connections on to other addresses, and can forget those that are open: they stay open and nothing passes any
-//! more, in neither way, while new ones work. So does something between two ends that has lost track of them. It can
-//! also hold pieces up, as lost packets do until they are sent again.
-class ForgetfulLink
+//! TCP proxy that can delay traffic, and blackhole open connections as a stateful firewall does that has lost their
+//! state: they stay open without transferring data, while new connections work.
+class FaultInjectingProxy
 {
 public:
-    ForgetfulLink()
+    FaultInjectingProxy()
     {
         thread_ = std::thread([this] { io_.run(); });
     }
-    ~ForgetfulLink()
+    ~FaultInjectingProxy()
     {
         io_.stop();
         thread_.join();
     }
-    ForgetfulLink(const ForgetfulLink &) = delete;
-    ForgetfulLink &operator=(const ForgetfulLink &) = delete;
+    FaultInjectingProxy(const FaultInjectingProxy &) = delete;
+    FaultInjectingProxy &operator=(const FaultInjectingProxy &) = delete;
 
-    //! Takes connections for a target from now on. Before the first forget() only.
-    void pass(const Address &from, const Address &to)
+    //! Forwards connections to a target. To be called before blackholeOpenConnections().
+    void forward(const Address &from, const Address &to)
     {
         acceptors_.emplace_back(io_, endpoint(from));
         Acceptor &acceptor = acceptors_.back();
         boost::asio::co_spawn(
             io_, [this, &acceptor, to] { return accept(acceptor, to); }, boost::asio::detached);
     }
-    //! Forgets the connections that are open now.
-    void forget()
+    //! Stops forwarding on the connections that are open.
+    void blackholeOpenConnections()
     {
         boost::asio::post(io_, [this] {
-            *remembered_ = false;
-            remembered_ = std::make_shared<bool>(true);
+            *isForwarding_ = false;
+            isForwarding_ = std::make_shared<bool>(true);
         });
     }
 
-    //! From now on every third piece is held up for so long, and all behind it on its connection.
-    void holdUp(Milliseconds time)
+    //! Delays every third chunk of each connection, and those behind it.
+    void delayChunks(Milliseconds time)
     {
-        boost::asio::post(io_, [this, time] { *heldUp_ = time; });
+        boost::asio::post(io_, [this, time] { *delay_ = time; });
     }
 
 private:
     using Socket = boost::asio::ip::tcp::socket;
     using Acceptor = boost::asio::ip::tcp::acceptor;
     static constexpr auto asTuple = boost::asio::as_tuple(boost::asio::use_awaitable);
-    static constexpr unsigned heldUpEvery = 3;
+    static constexpr unsigned delayEveryChunks = 3;
 
     static boost::asio::ip::tcp::endpoint endpoint(const Address &address)
     {
@@ -77,32 +76,32 @@
     boost::asio::awaitable<void> accept(Acceptor &acceptor, Address to)
     {
         while (acceptor.is_open()) {
-            auto [error, near] = co_await acceptor.async_accept(asTuple);
-            auto one = std::make_shared<Socket>(std::move(near));
-            auto other = std::make_shared<Socket>(io_);
+            auto [error, accepted] = co_await acceptor.async_accept(asTuple);
+            auto client = std::make_shared<Socket>(std::move(accepted));
+            auto server = std::make_shared<Socket>(io_);
             const boost::asio::ip::tcp::endpoint target = endpoint(to);
-            std::tie(error) = co_await other->async_connect(target, asTuple);
+            std::tie(error) = co_await server->async_connect(target, asTuple);
             if (error) {
                 continue;
             }
-            const std::shared_ptr<bool> remembered = remembered_;
-            boost::asio::co_spawn(io_, pipe(one, other, remembered, heldUp_), boost::asio::detached);
-            boost::asio::co_spawn(io_, pipe(other, one, remembered, heldUp_), boost::asio::detached);
+            const std::shared_ptr<bool> isForwarding = isForwarding_;
+            boost::asio::co_spawn(io_, pipe(client, server, isForwarding, delay_), boost::asio::detached);
+            boost::asio::co_spawn(io_, pipe(server, client, isForwarding, delay_), boost::asio::detached);
         }
     }
 
     static boost::asio::awaitable<void> pipe(std::shared_ptr<Socket> from, std::shared_ptr<Socket> to,
-                                             std::shared_ptr<bool> remembered, std::shared_ptr<Milliseconds> heldUp)
+                                             std::shared_ptr<bool> isForwarding, std::shared_ptr<Milliseconds> delay)
     {
         boost::asio::steady_timer timer(from->get_executor());
-        unsigned pieces = 0;
+        unsigned chunks = 0;
         std::array<char, 16U << 10U> space {};
         for (;;) {
-            const auto [error, got] = co_await from->async_read_some(boost::asio::buffer(space), asTuple);
-            if (!*remembered && !error) {
+            const auto [error, bytesRead] = co_await from->async_read_some(boost::asio::buffer(space), asTuple);
+            if (!*isForwarding && !error) {
                 continue;
             }
-            if (!*remembered) {
+            if (!*isForwarding) {
                 co_return;
             }
             if (error) {
@@ -110,22 +109,22 @@
                 to->close(ignored);
                 co_return;
             }
-            if (++pieces % heldUpEvery == 0 && heldUp->count() > 0) {
-                timer.expires_after(*heldUp);
+            if (++chunks % delayEveryChunks == 0 && delay->count() > 0) {
+                timer.expires_after(*delay);
                 co_await timer.async_wait(asTuple);
             }
-            co_await boost::asio::async_write(*to, boost::asio::buffer(space, got), asTuple);
+            co_await boost::asio::async_write(*to, boost::asio::buffer(space, bytesRead), asTuple);
         }
     }
 
     boost::asio::io_context io_;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_ {io_.get_executor()};
-    std::shared_ptr<bool> remembered_ = std::make_shared<bool>(true);
-    std::shared_ptr<Milliseconds> heldUp_ = std::make_shared<Milliseconds>(0);
+    std::shared_ptr<bool> isForwarding_ = std::make_shared<bool>(true);
+    std::shared_ptr<Milliseconds> delay_ = std::make_shared<Milliseconds>(0);
     std::list<Acceptor> acceptors_;
     std::thread thread_;
 };
 
 } // namespace cardamompost::tests
 
-#endif // CARDAMOMPOST_TESTS_CP_FORGETFUL_LINK_HPP_INCLUDED
+#endif // CARDAMOMPOST_TESTS_CP_FAULT_INJECTING_PROXY_HPP_INCLUDED
--- a/tests/support/cp_platform_stage.hpp
+++ b/tests/support/cp_platform_stage.hpp
@@ -3,7 +3,7 @@
 
 #include "gateway/cp_gateway.hpp"
 #include "platform/cp_platform_adapter.hpp"
-#include "support/cp_conducted_files.hpp"
+#include "support/cp_fault_injecting_files.hpp"
 #include "support/cp_free_port.hpp"
 
 #include <cardamompost/net/cp_await.hpp>
@@ -32,12 +32,13 @@
 {
 public:
     //! \param disk  how its disk behaves
-    explicit GatewayThread(GatewaySettings settings, ConductedFiles::Conduct disk = std::make_shared<DiskConduct>())
+    explicit GatewayThread(GatewaySettings settings,
+                           FaultInjectingFiles::SharedFaults disk = std::make_shared<DiskFaults>())
         : gateway_(
             std::move(settings), std::make_unique<PlatformAdapter>(), [this] { return settingsFile(); },
             [disk](const std::string &folder) -> Result<std::unique_ptr<IFiles>> {
                 BOOST_OUTCOME_TRY(auto files, PosixFiles::openFolder(folder, true));
-                return std::unique_ptr<IFiles>(std::make_unique<ConductedFiles>(std::move(files), disk));
+                return std::unique_ptr<IFiles>(std::make_unique<FaultInjectingFiles>(std::move(files), disk));
             })
     {
         isStarted_ = gateway_.start().has_value();
--- a/tests/support/cp_platform_system.hpp
+++ b/tests/support/cp_platform_system.hpp
@@ -1,7 +1,7 @@
 #ifndef CARDAMOMPOST_TESTS_CP_PLATFORM_SYSTEM_HPP_INCLUDED
 #define CARDAMOMPOST_TESTS_CP_PLATFORM_SYSTEM_HPP_INCLUDED
 
-#include "support/cp_forgetful_link.hpp"
+#include "support/cp_fault_injecting_proxy.hpp"
 #include "support/cp_platform_stage.hpp"
 
 #include <cardamompost/observe/cp_log_explainer.hpp>
@@ -99,7 +99,7 @@
         GatewaySettings settings = common("ledger-" + std::to_string(ledgers.size()));
         settings.role = GatewayRole::Ledger;
         settings.peer = local(freePort());
-        link.pass(settings.peer, settings.peerListen);
+        link.forward(settings.peer, settings.peerListen);
         settings.control = local(freePort());
         settings.directory = local(freePort());
         settings.backendList = stage.listAddress();
@@ -302,12 +302,12 @@
     }
 
     PlatformStage stage;
-    ForgetfulLink link;
+    FaultInjectingProxy link;
     std::vector<GatewaySettings> ledgers;
     std::vector<GatewaySettings> entrySettings;
     std::vector<std::unique_ptr<GatewayThread>> running;
     //! How the ledger VMs' disks behave.
-    std::vector<ConductedFiles::Conduct> disks;
+    std::vector<FaultInjectingFiles::SharedFaults> disks;
     std::vector<std::unique_ptr<GatewayThread>> entries;
 
 private:
@@ -315,7 +315,7 @@
 
     void runLedger(const GatewaySettings &settings)
     {
-        disks.push_back(std::make_shared<DiskConduct>());
+        disks.push_back(std::make_shared<DiskFaults>());
         running.push_back(std::make_unique<GatewayThread>(settings, disks.back()));
         BOOST_REQUIRE(running.back()->isStarted());
     }
