--- a/include/cardamompost/ledger/cp_ledger_clock.hpp
+++ b/include/cardamompost/ledger/cp_ledger_clock.hpp
@@ -8,17 +8,16 @@
 namespace cardamompost
 {
 
-//! The time that a leader gives its commands; what is kept expires by it, on all members alike.
+//! Logical time that a leader stamps on its commands and that drives expiry on all members.
 //!
-//! It goes on from where the last leader's commands ended, by this machine's steady clock, and counts from the ledger's
-//! founding. Guards against time of day that is wrong: a leader an hour ahead, for one command only, would have every
-//! turn expire at once, and callers would be told that what they had said is unknown. The price: time in which nobody
-//! leads does not count, so what is kept stays longer by that much.
+//! It counts from the creation of the ledger. A new leader continues from the last command it has applied and advances
+//! by its steady clock, so a wrong wall clock cannot expire turns early. Time without a leader does not count, which
+//! extends retention by that time.
 class LedgerClock
 {
 public:
-    //! This member leads from now on.
-    //! \param lastMs  time of the last command that it has applied
+    //! Starts the clock when this member becomes leader.
+    //! \param lastMs  time of the last command that this member has applied
     void takeOver(std::int64_t lastMs, TimePoint now)
     {
         lastMs_ = lastMs;
--- a/include/cardamompost/ledger/cp_ledger_command.hpp
+++ b/include/cardamompost/ledger/cp_ledger_command.hpp
@@ -10,39 +10,39 @@
 namespace cardamompost
 {
 
-//! Puts a route document in force, unless one of the same or a higher version is.
+//! Replaces the route document, unless the current version is equal or higher.
 struct RouteDocumentPut {
     std::uint64_t version = 0;
-    //! As the operator sent it.
+    //! Unmodified bytes from the operator.
     std::string bytes;
 };
 
-//! Records a VM that can be a member of the ledger, or that it is to be emptied.
+//! Registers a VM that can become a member of the ledger, or marks it as retiring.
 struct LedgerVm {
     VmName vm;
-    //! Its address, which is its name in the group.
+    //! Address, which is also its name in the consensus group.
     std::string peer;
     bool isRetiring = false;
 
     friend bool operator==(const LedgerVm &, const LedgerVm &) = default;
 };
 
-//! What accounts with a limit have used since the leader's last report.
+//! Usage of limited accounts since the leader's last report.
 struct UsageReport {
     std::vector<AccountUsage> usage;
 };
 
-//! One entry of the ledger's log.
+//! Payload of a log entry.
 struct LedgerCommand {
     using Action = std::variant<RouteDocumentPut, TurnBegin, TurnFinish, LedgerVm, UsageReport>;
 
-    //! The ledger's time at the leader that proposed it, see LedgerClock; what expires goes by it on all members alike.
+    //! LedgerClock time of the leader that proposed the command.
     std::int64_t nowMs = 0;
     Action action;
 };
 
 [[nodiscard]] std::string encodeLedgerCommand(const LedgerCommand &command);
-//! Errors: InvalidRequest for anything that encodeLedgerCommand() did not make.
+//! Errors: InvalidRequest if the bytes are not an encoded command.
 [[nodiscard]] Result<LedgerCommand> decodeLedgerCommand(const std::string &bytes);
 
 } // namespace cardamompost
--- a/include/cardamompost/ledger/cp_ledger_message.hpp
+++ b/include/cardamompost/ledger/cp_ledger_message.hpp
@@ -11,108 +11,106 @@
 namespace cardamompost
 {
 
-//! Asks the ledger's leader for the term to start with, and to be taken in as a member.
+//! Registers a VM with the leader as a candidate for membership, and asks for the current group and term.
 struct JoinRequest {
     VmName vm;
-    //! The member's address, which is its name in the ledger's group.
+    //! Address, which is also its name in the consensus group.
     std::string peer;
-    //! All that the log up to here says is on its disk or in its memory, turns' texts too; 0 while any is missing.
+    //! Log index up to which the VM holds all state, including turn texts; 0 while any is missing.
     LogIndex completeUpTo = 0;
     std::string failureDomain;
 };
 
-//! Where the ledger's group is, as one of its VMs sees it.
+//! Leader and members of the consensus group as known to one VM.
 struct GroupView {
-    //! Empty while none is known.
+    //! Empty if unknown.
     VmName leader;
-    //! Of that leader; one with a higher term was elected later.
+    //! Term of that leader.
     Term term = 0;
     std::uint64_t documentVersion = 0;
-    //! Addresses of the group's members.
+    //! Addresses.
     std::vector<VmName> members;
 
     friend bool operator==(const GroupView &, const GroupView &) = default;
 };
 
 struct JoinReply {
-    //! The leader has confirmed with its quorum that it leads; only then does the term count.
+    //! The leader has confirmed its leadership with a quorum; only then is the term valid.
     bool isConfirmed = false;
     GroupView group;
 };
 
-//! A leader tells a VM that has not asked for it where it is. It is not confirmed: whoever gets it asks there.
+//! Unsolicited notice of the current leader. It is unconfirmed; the receiver verifies it with a JoinRequest.
 struct LeaderNotice {
     GroupView group;
 };
 
-//! What decides at which engine a turn gets a place, and when. Not part of what is kept.
+//! Input for choosing the backend server and queue position of a turn. Not replicated.
 struct PlacementRequest {
-    //! Empty when the entry chooses by itself.
+    //! Empty if the entry chooses the backend server itself.
     std::string service;
     std::string failureDomain;
     std::uint32_t rank = 0;
-    //! Until its program should be finished; below 0 when it is late.
+    //! Time until the program's deadline; negative if it has passed.
     std::int64_t programTimeLeftMs = 0;
     std::uint32_t timeLeftMs = 0;
-    //! Servers that this entry could not reach a moment ago.
+    //! Ids of backend servers that the entry failed to reach recently.
     std::vector<std::string> unreachable;
 };
 
-//! Reserves the most that a turn may cost, and asks for the history that it continues.
+//! Reserves the maximum cost of a turn and requests the history that it continues.
 struct TurnBegin {
-    //! The request's id, new for each attempt of a caller.
+    //! Request id, unique for each attempt of a caller.
     std::string turn;
     std::string program;
     //! Empty for the first turn of a history.
     std::string previous;
     std::int64_t tokensAtMost = 0;
-    //! Tokens that all turns of the program may generate; negative for a program without a budget.
+    //! Tokens that all turns of the program may generate together; negative for no budget.
     std::int64_t budget = -1;
     std::uint32_t retentionMs = 0;
     PlacementRequest placement {};
-    //! Client account whose limit the turn counts towards; empty for none. Not part of what is kept.
+    //! Client account whose limit the turn counts towards; empty for none. Not replicated.
     std::string account {};
 };
 
-//! What became of a turn's begin.
 enum class TurnBeginStatus : std::uint8_t {
-    //! This member does not lead, or can't tell; ask the leader.
+    //! This member is not the leader or cannot confirm that it is.
     NotLeader,
-    //! The reservation is on its way to a quorum: send the turn, but hand nothing out before Granted.
+    //! The reservation is being replicated: the turn may be sent, but no output may be returned before Granted.
     Tentative,
     Granted,
-    //! The budget does not hold the turn.
+    //! The turn's maximum cost exceeds the remaining budget.
     BudgetExhausted,
-    //! No such turn to continue, as a quorum knows.
+    //! The turn to continue does not exist, confirmed by a quorum.
     NoSuchTurn,
-    //! The engines' places are taken; Tentative follows once there is one.
+    //! No backend server has a free slot; Tentative follows once one has.
     Queued,
     //! The account is over its limit; the turn is not run.
     Limited,
-    //! The ledger has more to write than it can; the turn is not run.
+    //! The ledger cannot keep up with its writes; the turn is not run.
     Overloaded,
 };
 
 struct TurnBeginReply {
     TurnBeginStatus status = TurnBeginStatus::NotLeader;
     VmName leader;
-    //! Inputs and outputs of the turns that are continued, oldest first; only with Tentative.
+    //! Concatenated inputs and outputs of the previous turns, oldest first; only with Tentative.
     std::string history;
-    //! Id of the backend server with a place for it; empty when the entry has to choose. Only with Tentative.
+    //! Id of the backend server with a slot for the turn; empty if the entry has to choose. Only with Tentative.
     std::string backend;
     //! Only with Limited and Overloaded.
     std::uint32_t retryAfterMs = 0;
 };
 
-//! Asks whether a request that is no turn is within its account's limit.
+//! Asks whether a request other than a turn is within its account's limit.
 struct AdmitRequest {
     std::string account;
-    //! The request's id; one that asks again counts once.
+    //! Request id; retries with the same id count once.
     std::string request;
 };
 
 enum class AdmitStatus : std::uint8_t {
-    //! Ask the leader.
     NotLeader,
     Admitted,
     //! The account is over its limit.
@@ -127,11 +125,11 @@
 
 //! How a turn ended at the entry.
 enum class TurnEnding : std::uint8_t {
-    //! The caller gets the whole answer once this is durable.
+    //! The caller receives the complete answer once this is durable.
     Complete,
-    //! It did not run and never will; its reservation is given back.
+    //! The turn never ran; its reservation is released.
     NotRun,
-    //! It broke off; what was handed out is spent.
+    //! The turn failed midway; tokens returned to the caller are charged.
     Broken,
 };
 
@@ -140,14 +138,14 @@
     std::string program;
     std::string previous;
     TurnEnding ending = TurnEnding::Broken;
-    //! Tokens handed to the caller.
+    //! Tokens returned to the caller.
     std::int64_t tokens = 0;
     std::uint32_t retentionMs = 0;
-    //! Later turns may continue this one.
+    //! The turn's contents are retained so that later turns can continue it.
     bool isKept = false;
     std::string input;
     std::string output;
-    //! Id of the backend server that ran it; empty when none did, or none is known.
+    //! Id of the backend server that ran the turn; empty if none or unknown.
     std::string backend;
 };
 
@@ -156,69 +154,70 @@
     VmName leader;
 };
 
-//! Asks the leader for what has changed since the versions known.
+//! Long poll of an entry to the leader for changes since the versions that the entry holds.
 struct UpdateRequest {
-    //! Of the document in force.
+    //! Version of the complete document that the entry uses.
     std::uint64_t documentVersion = 0;
     BackendListVersion list;
-    //! Of what is held, also of a newer document or list of which only a part has come so far.
+    //! Digests of all content held, including parts of a newer version received so far.
     DocumentBuckets::Digests documentDigests;
     BackendBuckets::Digests listDigests;
-    //! For how long the entry has known that it lacks something; 0 when it knows of nothing.
+    //! Time since the entry learned that its content is stale; 0 if it is not known to be.
     std::uint32_t staleMs = 0;
     //! How long the leader may wait for a change before it answers.
     std::uint32_t waitMs = 0;
-    //! False for a question that is only after who leads.
+    //! False to ask only for the leader and members.
     bool wantsContent = true;
 };
 
 struct UpdateReply {
     bool isLeader = false;
     VmName leader;
-    //! Of the leader that answers; one with a lower term than another's was deposed by that.
+    //! Term of the leader that replies; replies from a lower term are outdated.
     Term term = 0;
-    //! Addresses of all ledger VMs, whether they are members now or not.
+    //! Addresses of all ledger VMs, members or not.
     std::vector<VmName> members;
-    //! Of them, those that may come to lead; only from a leader.
+    //! Addresses of the voters; only from a leader.
     std::vector<VmName> voters;
     std::uint64_t documentVersion = 0;
     BackendListVersion list;
-    //! What the digests in the request lack; nothing when nothing newer may be sent.
+    //! Content that the request's digests lack; empty if there is nothing newer to send.
     std::optional<ContentDelta> documentDelta;
     std::optional<ContentDelta> listDelta;
-    //! Time since the list was read, in milliseconds.
+    //! Time since the backend list was read.
     std::uint32_t listAgeMs = 0;
 };
 
-//! Asks another member for what turns said, by the indexes of the entries that ended them.
+//! Asks another member for turn texts, by the log indexes of the entries that finished the turns.
 struct TurnTextsRequest {
     std::vector<LogIndex> indexes;
 };
 
+//! Input and output of a turn, concatenated.
 struct TurnText {
     LogIndex index = 0;
     std::string text;
 };
 
 struct TurnTextsReply {
-    //! Those that the member has, as many as fit into one message.
+    //! The requested texts that the member holds, as many as fit into one message.
     std::vector<TurnText> texts;
 };
 
-//! Where callers reach an entry that takes requests.
+//! Address at which an entry accepts requests.
 struct EntryPlace {
     std::string address;
     std::string failureDomain;
 };
 
-//! Tells a directory that an entry takes requests, or another directory answers; counts for a few seconds.
+//! Announces an entry or a directory to a directory; expires after a few seconds unless renewed.
 struct Presence {
     VmName vm;
     std::string address;
     std::string failureDomain;
-    //! An entry takes requests.
+    //! The entry accepts requests.
     bool isReady = false;
-    //! It is a directory and not an entry.
+    //! The sender is a directory, not an entry.
     bool isDirectory = false;
 };
 
--- a/include/cardamompost/ledger/cp_ledger_state.hpp
+++ b/include/cardamompost/ledger/cp_ledger_state.hpp
@@ -10,20 +10,20 @@
 namespace cardamompost
 {
 
-//! What all programs have spent and said, the route document in force, and the VMs that can hold the ledger.
+//! Replicated state machine of the ledger: program budgets, turn histories, the route document, VMs and account usage.
 //!
-//! A deterministic state machine: members that apply the same commands in the same order hold the same state.
-//! Expiry goes by the commands' own times, with a margin, so that a member's clock decides nothing.
+//! Members that apply the same commands in the same order hold the same state. Expiry depends only on the times in the
+//! commands, never on a member's clock.
 //! Thread-safety: none.
 class LedgerState
 {
 public:
-    //! What a command answers to the one who asked for it.
-    //! \param index  of the log's entry that holds the command; kept texts go by it
+    //! \param index  log index of the command, which identifies the text of a turn that it finishes
+    //! \returns the outcome of a TurnBegin; Granted for all other commands
     TurnBeginStatus apply(const LedgerCommand &command, LogIndex index);
 
-    //! What a reservation would answer now.
-    //! \param pendingTokens  reservations of the same program that are proposed and not applied yet
+    //! Returns the outcome that apply() would have for a TurnBegin, without applying it.
+    //! \param pendingTokens  sum of the program's reservations that are proposed but not applied yet
     [[nodiscard]] TurnBeginStatus check(const TurnBegin &begin, std::int64_t pendingTokens) const;
     [[nodiscard]] bool isReserved(const std::string &program, const std::string &turn) const;
 
@@ -31,9 +31,8 @@
     {
         return turns_.contains(turn);
     }
-    //! A turn and all before it, oldest first, by the indexes of their texts.
+    //! Indexes of the texts of a turn and all its predecessors, oldest first; empty for an unknown turn.
     [[nodiscard]] std::vector<LogIndex> history(const std::string &turn) const;
-    //! What turns said; each text is its turn's input and output.
     [[nodiscard]] TurnTexts &texts()
     {
         return texts_;
@@ -42,18 +41,19 @@
     {
         return texts_;
     }
-    //! Takes the texts of the state that this one replaces; those of turns that this one does not know are forgotten.
-    void takeTexts(TurnTexts &&texts);
+    //! Takes over the texts of the state that this one replaces and removes those of unknown turns.
+    void adoptTexts(TurnTexts &&texts);
+    //! Tokens that the program's finished turns were charged.
     [[nodiscard]] std::int64_t spent(const std::string &program) const;
-    //! What its turns under way may cost at their most.
+    //! Sum of the reservations of the program's running turns, in tokens.
     [[nodiscard]] std::int64_t reserved(const std::string &program) const;
 
-    //! What accounts with a limit have used lately.
+    //! Recent usage of accounts with a limit.
     [[nodiscard]] const UsageLog &usage() const
     {
         return usage_;
     }
-    //! Time of the last command.
+    //! LedgerClock time of the last command.
     [[nodiscard]] std::int64_t nowMs() const
     {
         return nowMs_;
@@ -62,7 +62,7 @@
     {
         return document_.version;
     }
-    //! As the operator sent it; empty when there is none yet.
+    //! Unmodified bytes from the operator; empty if there is no document yet.
     [[nodiscard]] const std::string &document() const
     {
         return document_.bytes;
@@ -79,19 +79,18 @@
     {
         return programs_.size();
     }
-    //! Bytes of all kept texts, wherever they are.
+    //! Total size of all retained texts, in memory, on disk or missing.
     [[nodiscard]] std::size_t turnBytes() const
     {
         return turnBytes_;
     }
 
-    //! All but the texts.
+    //! Encodes a snapshot, which contains everything except the texts.
     [[nodiscard]] std::string encode() const;
     //! Errors: StorageCorrupt.
     [[nodiscard]] static Result<LedgerState> decode(const std::string &bytes);
 
 private:
-    //! Writes and reads the parts of a snapshot.
     friend class LedgerSnapshotCodec;
 
     struct Program {
--- a/include/cardamompost/ledger/cp_member_planner.hpp
+++ b/include/cardamompost/ledger/cp_member_planner.hpp
@@ -8,33 +8,32 @@
 namespace cardamompost
 {
 
-//! What the leader knows of a VM that is, or could be, a member of its group.
+//! Leader's view of a VM that is or could become a member of its group.
 struct MemberCandidate {
-    //! It was heard from lately.
+    //! A message from the VM arrived recently.
     bool isLive = false;
-    //! An operator wants it emptied.
+    //! An operator is draining the VM.
     bool isRetiring = false;
-    //! As a learner it holds all that is committed.
+    //! As a learner, the VM holds all committed entries.
     bool isCaughtUp = false;
-    //! Empty while it is not known; such VMs count as one failure domain.
+    //! VMs with an unknown (empty) failure domain count as one domain.
     std::string failureDomain;
-    //! It leads the group; of two voters that could go, the other one goes.
+    //! The leader is moved only if there is no other voter in a failure domain with as many voters.
     bool isLeader = false;
 };
 
-//! By address, which is the name in the group.
+//! Keyed by address, which is also the name in the group.
 using MemberCandidates = std::map<VmName, MemberCandidate>;
 
-//! The next single step towards a group of live voters that are not to be emptied and that lie in as many failure
-//! domains as there are; nothing when there is none to take.
+//! Plans the next single-member change towards a group of live, non-retiring voters spread evenly over the failure
+//! domains; returns nothing if no change is needed or possible.
 //!
-//! Guards against a group most of which stands in one failure domain, as when members are taken in by address: with
-//! that domain the quorum is lost, and everybody waits although most VMs run. A voter of the domain with the most makes
-//! room for a VM of a domain that has two fewer, so the spread can't be bettered by moving one to and fro.
+//! Spreading the voters keeps the quorum when a whole failure domain is lost. A voter is moved only to a domain with at
+//! least two fewer voters, so the plan does not oscillate.
 //!
-//! A voter is replaced only by a learner that has caught up, and is removed only after its successor votes, so no step
-//! leaves an entry on fewer disks than a quorum of the desired size.
-//! \param desiredVoters  as many as the losses to be borne ask for: twice their number and one
+//! A voter is replaced only by a learner that has caught up, and is removed only after its replacement votes, so no
+//! step leaves an entry on fewer disks than a quorum of the desired size.
+//! \param desiredVoters  2f + 1 to tolerate the loss of f voters
 [[nodiscard]] std::optional<Membership> planMembership(const Membership &current, const MemberCandidates &candidates,
                                                        std::size_t desiredVoters);
 
--- a/include/cardamompost/ledger/cp_membership_cache.hpp
+++ b/include/cardamompost/ledger/cp_membership_cache.hpp
@@ -7,33 +7,32 @@
 namespace cardamompost
 {
 
-//! What a VM outside of the ledger's group knows of the way there, for after a restart.
+//! Persistent cache of the consensus group's members, kept by ledger VMs outside the group.
 //!
-//! Guards against a fleet that forgets its group. Most ledger VMs are no members; once everything was off they know
-//! the seeds of their settings alone, and these may be blank or never have been members either. Then each asks the
-//! others and nobody names a member, although a quorum runs. Whoever is in the book is only asked: what is in force is
-//! told by a leader that a quorum confirms.
+//! Lets a VM find the group after a restart of the whole fleet, when the configured seeds may not be members. Cached
+//! peers are only contact points; leader and term are valid only when confirmed by a quorum.
 //! Thread-safety: none.
 class MembershipCache
 {
 public:
-    //! Former members are kept up to this number, those seen last first: a leader may be an old one again.
+    //! Limit for current and former members together; the members seen longest ago are dropped first.
     static constexpr std::size_t maxPeers = 16;
 
-    //! Notes what a leader told. \returns true when the book has changed and is worth storing
-    bool note(const GroupView &groupView);
+    //! Records a view of the group. \returns true if leader, term or members changed, so that the cache has to be
+    //! stored
+    bool update(const GroupView &groupView);
 
     [[nodiscard]] const GroupView &last() const
     {
         return last_;
     }
-    //! Whom to ask, members of the last sighting first.
+    //! Peers to contact, the most recent members first.
     [[nodiscard]] const std::vector<VmName> &peers() const
     {
         return peers_;
     }
 
-    //! \param wallMs  time of day; tells a reader of the logs how old the book is, and decides nothing
+    //! \param wallMs  wall-clock time of writing, for diagnostics only
     [[nodiscard]] std::string encode(std::int64_t wallMs) const;
 
     struct Stored;
@@ -45,7 +44,7 @@
     std::vector<VmName> peers_;
 };
 
-//! A book as it was read back, and when it was written.
+//! A decoded cache and the wall-clock time at which it was written.
 struct MembershipCache::Stored {
     MembershipCache cache;
     std::int64_t wallMs = 0;
--- a/include/cardamompost/ledger/cp_turn_texts.hpp
+++ b/include/cardamompost/ledger/cp_turn_texts.hpp
@@ -15,15 +15,15 @@
 namespace cardamompost
 {
 
-//! What turns said, by the index of the log's entry that ended the turn: the same on all members.
+//! Turn texts (input and output of each turn), identified by the log index of the entry that finished the turn.
 //!
-//! A text is held in memory until it is on this member's own disk. After that only the ones used last stay, up to a
-//! limit, so that a member's memory does not grow with what programs say. This class knows what is where; whoever owns
-//! it reads, writes and asks other members. Thread-safety: none. No input or output.
+//! A text is pinned in memory until it is on this member's disk; then it is subject to LRU eviction, which bounds
+//! memory. The class tracks where texts are and performs no I/O: its owner reads and writes them and fetches missing
+//! ones from other members. Thread-safety: none.
 class TurnTexts
 {
 public:
-    //! \param cacheBytes  limit for texts that are on disk too
+    //! \param cacheBytes  limit for evictable texts; pinned texts do not count
     explicit TurnTexts(std::size_t cacheBytes = defaultCacheBytes)
         : cacheBytes_(cacheBytes)
     {
@@ -34,41 +34,42 @@
         cacheBytes_ = bytes;
     }
 
-    //! A text that the log has brought; in memory until it is stored.
+    //! Adds a text from the log and pins it in memory until it is stored.
     void add(LogIndex index, std::string text);
-    //! A text that was read from the disk or got from another member; it may be dropped again.
+    //! Adds a text read from disk or fetched from another member; it may be evicted at any time.
     void cache(LogIndex index, std::string text);
-    //! Null when it is not in memory.
+    //! Returns null if the text is not in memory.
     [[nodiscard]] const std::string *find(LogIndex index);
-    //! The texts one after the other; nothing unless all are in memory.
+    //! Concatenates texts; returns nothing unless all are in memory.
     [[nodiscard]] std::optional<std::string> join(const std::vector<LogIndex> &indexes);
-    //! The turn has expired.
-    void forget(LogIndex index);
+    //! Removes the text of an expired turn.
+    void remove(LogIndex index);
 
-    //! Texts that have to be stored now, oldest first, and are taken as being written until endStoring().
+    //! Returns the texts to write to disk, oldest first. They stay pinned until endStoring().
     [[nodiscard]] std::vector<LogIndex> beginStoring();
     void endStoring();
-    //! Indexes whose texts on the disk are of no use any more; each is told once.
-    [[nodiscard]] std::vector<LogIndex> takeForgotten();
+    //! Returns texts to delete from disk, each only once.
+    [[nodiscard]] std::vector<LogIndex> takeObsolete();
 
-    //! Found on the disk at the start.
-    void noteFound(LogIndex index);
-    //! A missing text is on the disk now.
-    void noteFetched(LogIndex index);
-    //! The state was replaced: only these turns are kept, with their texts' sizes. Those that are neither in memory nor
-    //! on the disk are missing from now on.
+    //! Registers a text found on disk at startup.
+    void markStored(LogIndex index);
+    //! Registers a text that was fetched from another member and written to disk.
+    void markFetched(LogIndex index);
+    //! Removes all texts except the given ones after the state was replaced. Given texts that are neither pinned in
+    //! memory nor on disk become missing.
+    //! \param sizes  in bytes, by index
     void retain(const std::map<LogIndex, std::size_t> &sizes);
 
     [[nodiscard]] bool isStored(LogIndex index) const
     {
         return stored_.contains(index);
     }
-    //! Texts that this member should hold and does not, with their sizes.
+    //! Sizes of the texts that this member should hold but does not, by index.
     [[nodiscard]] const std::map<LogIndex, std::size_t> &missing() const
     {
         return missing_;
     }
-    //! Bytes of texts in memory, with those that wait for the disk.
+    //! Bytes of all texts in memory, pinned or evictable.
     [[nodiscard]] std::size_t memoryBytes() const
     {
         return memoryBytes_;
@@ -77,26 +78,26 @@
     static constexpr std::size_t defaultCacheBytes = 16U << 20U;
 
 private:
-    struct Item {
+    struct CachedText {
         std::string text;
-        //! In recent_, unless the text has to stay in memory.
-        std::optional<std::list<LogIndex>::iterator> place;
+        //! Position in lruList_; empty while the text is pinned.
+        std::optional<std::list<LogIndex>::iterator> lruPosition;
     };
 
-    void makeDroppable(LogIndex index, Item &item);
-    void erase(LogIndex index);
-    void dropOldest();
+    void makeEvictable(LogIndex index, CachedText &item);
+    void evict(LogIndex index);
+    void evictLeastRecentlyUsed();
 
     std::size_t cacheBytes_;
-    std::unordered_map<LogIndex, Item> items_;
-    //! Texts that may be dropped, the one used last at the front.
-    std::list<LogIndex> recent_;
-    std::size_t droppableBytes_ = 0;
+    std::unordered_map<LogIndex, CachedText> cached_;
+    //! Evictable texts, most recently used first.
+    std::list<LogIndex> lruList_;
+    std::size_t evictableBytes_ = 0;
     std::size_t memoryBytes_ = 0;
     std::set<LogIndex> unstored_;
-    std::vector<LogIndex> writing_;
+    std::vector<LogIndex> storing_;
     std::unordered_set<LogIndex> stored_;
-    std::vector<LogIndex> forgotten_;
+    std::vector<LogIndex> obsolete_;
     std::map<LogIndex, std::size_t> missing_;
 };
 
--- a/include/cardamompost/ledger/cp_update_queue.hpp
+++ b/include/cardamompost/ledger/cp_update_queue.hpp
@@ -11,10 +11,10 @@
 namespace cardamompost
 {
 
-//! Entries' questions for news at the ledger's leader, and which of them is answered next.
+//! Queue of pending update requests from entries at the leader.
 //!
-//! All entries together are sent so many bytes a second at most: hundreds of them want the same things at one moment,
-//! after a start or a change of everything, and the leader has small memory and a small link.
+//! A token bucket limits the bytes sent to all entries together, since many of them request the same content at once
+//! after a restart or a large change.
 //! Thread-safety: none.
 template<typename Replier>
 class UpdateQueue
@@ -22,13 +22,13 @@
 public:
     struct Limits {
         double bytesPerSecond = 0;
-        //! What may be sent at once after a quiet time.
+        //! Capacity of the token bucket.
         double burstBytes = 0;
     };
-    struct Question {
+    struct PendingRequest {
         UpdateRequest request;
         Replier replier;
-        //! When the entry first knew that it lacks something, or asked.
+        //! When the entry's content became stale, or when the request arrived if it was not stale.
         TimePoint since;
         TimePoint deadline;
     };
@@ -41,67 +41,66 @@
     void add(UpdateRequest request, Replier replier, TimePoint now, Milliseconds wait)
     {
         const TimePoint since = now - Milliseconds(request.staleMs);
-        questions_.push_back({std::move(request), std::move(replier), since, now + wait});
+        pending_.push_back({std::move(request), std::move(replier), since, now + wait});
     }
     [[nodiscard]] bool isEmpty() const
     {
-        return questions_.empty();
+        return pending_.empty();
     }
 
-    //! Answers those that are due, as far as may be sent now.
-    //! \param isDue  whether there is something for a request
-    //! \param send   answers a question; returns the bytes that it took
+    //! Answers pending requests while tokens are available, the entry that has been stale for longest first.
+    //! \param isDue  whether there is an update for an UpdateRequest
+    //! \param send   answers a PendingRequest; returns the number of bytes sent
     template<typename IsDue, typename Send>
     void serve(TimePoint now, IsDue isDue, Send send)
     {
-        earn(now);
-        const auto isWaiting = [&](const Question &question) { return isDue(question.request); };
-        if (budget_ <= 0 || std::none_of(questions_.begin(), questions_.end(), isWaiting)) {
+        refill(now);
+        const auto hasUpdate = [&](const PendingRequest &pending) { return isDue(pending.request); };
+        if (availableBytes_ <= 0 || std::none_of(pending_.begin(), pending_.end(), hasUpdate)) {
             return;
         }
-        // Guards entries that come last under changes in quick succession: served in the order in which questions
-        // come, the same few entries got every version, and others none for seconds, asking again and again. Who has
-        // lacked something for longest goes first, however often he had to ask.
-        std::stable_sort(questions_.begin(), questions_.end(),
-                         [](const Question &left, const Question &right) { return left.since < right.since; });
-        for (Question &question : std::exchange(questions_, {})) {
-            if (budget_ > 0 && isDue(question.request)) {
-                budget_ -= static_cast<double>(send(question));
+        // Prevents starvation under frequent changes, where serving in order of arrival favors the same few entries.
+        std::stable_sort(pending_.begin(), pending_.end(), [](const PendingRequest &left, const PendingRequest &right) {
+            return left.since < right.since;
+        });
+        for (PendingRequest &pending : std::exchange(pending_, {})) {
+            if (availableBytes_ > 0 && isDue(pending.request)) {
+                availableBytes_ -= static_cast<double>(send(pending));
             } else {
-                questions_.push_back(std::move(question));
+                pending_.push_back(std::move(pending));
             }
         }
     }
-    //! Takes out the questions whose time is over.
-    [[nodiscard]] std::vector<Question> takeExpired(TimePoint now)
+    //! Removes and returns the requests whose deadline has passed.
+    [[nodiscard]] std::vector<PendingRequest> takeExpired(TimePoint now)
     {
-        const auto isOpen = [now](const Question &question) { return now < question.deadline; };
-        if (std::all_of(questions_.begin(), questions_.end(), isOpen)) {
+        const auto isOpen = [now](const PendingRequest &pending) { return now < pending.deadline; };
+        if (std::all_of(pending_.begin(), pending_.end(), isOpen)) {
             return {};
         }
-        const auto expired = std::stable_partition(questions_.begin(), questions_.end(), isOpen);
-        std::vector<Question> taken(std::make_move_iterator(expired), std::make_move_iterator(questions_.end()));
-        questions_.erase(expired, questions_.end());
+        const auto expired = std::stable_partition(pending_.begin(), pending_.end(), isOpen);
+        std::vector<PendingRequest> taken(std::make_move_iterator(expired), std::make_move_iterator(pending_.end()));
+        pending_.erase(expired, pending_.end());
         return taken;
     }
-    [[nodiscard]] std::vector<Question> takeAll()
+    [[nodiscard]] std::vector<PendingRequest> takeAll()
     {
-        return std::exchange(questions_, {});
+        return std::exchange(pending_, {});
     }
 
 private:
-    void earn(TimePoint now)
+    void refill(TimePoint now)
     {
-        const double earned = std::chrono::duration<double>(now - earnedAt_).count() * limits_.bytesPerSecond;
-        budget_ = std::min(limits_.burstBytes, budget_ + earned);
-        earnedAt_ = now;
+        const double refilled = std::chrono::duration<double>(now - refilledAt_).count() * limits_.bytesPerSecond;
+        availableBytes_ = std::min(limits_.burstBytes, availableBytes_ + refilled);
+        refilledAt_ = now;
     }
 
     Limits limits_;
-    std::vector<Question> questions_;
-    //! Bytes that may be sent now; below 0 while the last answer is paid off.
-    double budget_ = 0;
-    TimePoint earnedAt_ {};
+    std::vector<PendingRequest> pending_;
+    //! Tokens in the bucket; negative after an answer larger than the remaining tokens.
+    double availableBytes_ = 0;
+    TimePoint refilledAt_ {};
 };
 
 } // namespace cardamompost
--- a/src/cardamompost/ledger/cp_ledger_codec.cpp
+++ b/src/cardamompost/ledger/cp_ledger_codec.cpp
@@ -89,7 +89,7 @@
         AlignedMessage message(bytes);
         return readCommand(message.root<schema::LedgerCommand>());
     } catch (const kj::Exception &) {
-        return makeError(ErrorKind::InvalidRequest, "the bytes are not a command of the ledger");
+        return makeError(ErrorKind::InvalidRequest, "invalid ledger command");
     }
 }
 
@@ -114,10 +114,10 @@
             item.setSpent(program.spent);
             item.setExpiresMs(program.expiresMs);
             auto reservations = item.initReservations(static_cast<unsigned>(program.reservations.size()));
-            unsigned place = 0;
+            unsigned position = 0;
             for (const auto &[turn, tokens] : program.reservations) {
-                reservations[place].setTurn(toText(turn));
-                reservations[place++].setTokens(tokens);
+                reservations[position].setTurn(toText(turn));
+                reservations[position++].setTokens(tokens);
             }
         }
         encodeTurns(state, out.initTurns(static_cast<unsigned>(state.turns_.size())));
@@ -161,21 +161,21 @@
             count += items.size();
         }
         auto out = snapshot.initUsage(static_cast<unsigned>(count));
-        unsigned place = 0;
+        unsigned position = 0;
         for (const auto &[account, items] : usage.items()) {
             for (const UsageLog::Item &item : items) {
-                out[place].setAccount(toText(account));
-                out[place].setAtMs(item.atMs);
-                out[place++].setRequests(item.requests);
+                out[position].setAccount(toText(account));
+                out[position].setAtMs(item.atMs);
+                out[position++].setRequests(item.requests);
             }
         }
     }
 
     static void encodeTurns(const LedgerState &state, KeptTurns out)
     {
-        unsigned place = 0;
+        unsigned position = 0;
         for (const auto &[name, turn] : state.turns_) {
-            auto item = out[place++];
+            auto item = out[position++];
             item.setTurn(toText(name));
             item.setPrevious(toText(turn.previous));
             item.setExpiresMs(turn.expiresMs);
@@ -199,7 +199,7 @@
         AlignedMessage message(bytes);
         LedgerSnapshotCodec::decode(state, message.root<schema::LedgerSnapshot>());
     } catch (const kj::Exception &) {
-        return makeError(ErrorKind::StorageCorrupt, "the bytes are not a snapshot of the ledger");
+        return makeError(ErrorKind::StorageCorrupt, "invalid ledger snapshot");
     }
     return state;
 }
--- a/src/cardamompost/ledger/cp_ledger_state.cpp
+++ b/src/cardamompost/ledger/cp_ledger_state.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-// Guards against a turn that a caller may still continue: its answer may have reached the caller later than its end was
-// made durable, and steady clocks differ. What is kept outlives its retention by this much, in milliseconds.
+// Added to the retention time, since the caller may receive the answer after the turn's finish was committed, and
+// steady clocks drift.
 constexpr std::int64_t expiryMarginMs = 15'000;
 constexpr std::int64_t sweepIntervalMs = 2000;
-// Longest history that is followed; far above any real one, and an end for a damaged one.
+// Bounds the traversal of a corrupt history.
 constexpr std::size_t maxHistoryTurns = 10'000;
 
 } // namespace
@@ -36,10 +36,10 @@
 
 void LedgerState::advanceTime(std::int64_t nowMs)
 {
-    // A new leader may not have applied all commands of the last one when it takes its time over; it never goes back.
+    // Time is monotonic even if a new leader started its clock before it had applied all earlier commands.
     const std::int64_t before = nowMs_;
     nowMs_ = std::max(nowMs_, nowMs);
-    // The sweeps' times follow from the commands alone, so that members that began with a snapshot sweep with the rest.
+    // Sweep times depend on command times only, so members restored from a snapshot expire the same items.
     if (nowMs_ / sweepIntervalMs != before / sweepIntervalMs) {
         expire();
     }
@@ -49,18 +49,18 @@
 {
     std::erase_if(programs_, [&](const auto &item) { return item.second.expiresMs < nowMs_; });
     std::erase_if(turns_, [&](const auto &item) {
-        const bool isOver = item.second.expiresMs < nowMs_;
-        if (isOver) {
+        const bool isExpired = item.second.expiresMs < nowMs_;
+        if (isExpired) {
             turnBytes_ -= item.second.bytes;
-            texts_.forget(item.second.index);
+            texts_.remove(item.second.index);
         }
-        return isOver;
+        return isExpired;
     });
 }
 
 void LedgerState::applyDocument(const RouteDocumentPut &put)
 {
-    // Equal versions with other content, and versions that come late, change nothing: what is in force never reverts.
+    // Equal and older versions are ignored, so the document never reverts.
     if (put.version > document_.version) {
         document_ = put;
     }
@@ -77,7 +77,7 @@
     if (!begin.previous.empty() && !turns_.contains(begin.previous)) {
         return TurnBeginStatus::NoSuchTurn;
     }
-    // An entry that lost the answer asks again; the same attempt is reserved once.
+    // A retry of the same attempt is reserved only once.
     if (begin.budget < 0 || isReserved(begin.program, begin.turn)) {
         return TurnBeginStatus::Granted;
     }
@@ -104,7 +104,7 @@
     if (!finish.program.empty()) {
         Program &program = programs_[finish.program];
         touchProgram(program, finish.retentionMs);
-        // A finish that is sent again finds no reservation and settles nothing twice.
+        // A repeated finish finds no reservation and is not charged again.
         if (program.reservations.erase(finish.turn) != 0) {
             program.spent += finish.ending == TurnEnding::NotRun ? 0 : finish.tokens;
         }
@@ -158,7 +158,7 @@
     return indexes;
 }
 
-void LedgerState::takeTexts(TurnTexts &&texts)
+void LedgerState::adoptTexts(TurnTexts &&texts)
 {
     texts_ = std::move(texts);
     std::map<LogIndex, std::size_t> sizes;
--- a/src/cardamompost/ledger/cp_member_planner.cpp
+++ b/src/cardamompost/ledger/cp_member_planner.cpp
@@ -17,18 +17,18 @@
     return found == candidates.end() ? unknown : found->second;
 }
 
-bool isSound(const MemberCandidate &candidate)
+bool isEligible(const MemberCandidate &candidate)
 {
     return candidate.isLive && !candidate.isRetiring;
 }
 
-//! Voters that stay, by failure domain.
-DomainCounts countSoundVoters(const Membership &current, const MemberCandidates &candidates)
+//! Number of eligible voters by failure domain.
+DomainCounts countEligibleVoters(const Membership &current, const MemberCandidates &candidates)
 {
     DomainCounts counts;
     for (const VmName &voter : current.voters) {
         const MemberCandidate &candidate = find(candidates, voter);
-        if (isSound(candidate)) {
+        if (isEligible(candidate)) {
             ++counts[candidate.failureDomain];
         }
     }
@@ -41,14 +41,14 @@
     return found == counts.end() ? 0 : found->second;
 }
 
-//! Of the sound VMs that do not vote, the one whose failure domain has the fewest voters.
-std::optional<VmName> findNewcomer(const Membership &current, const MemberCandidates &candidates,
+//! The eligible non-voter whose failure domain has the fewest voters.
+std::optional<VmName> findNewVoter(const Membership &current, const MemberCandidates &candidates,
                                    const DomainCounts &counts)
 {
     std::optional<VmName> best;
     std::size_t fewest = 0;
     for (const auto &[name, candidate] : candidates) {
-        if (!isSound(candidate) || current.voters.contains(name)) {
+        if (!isEligible(candidate) || current.voters.contains(name)) {
             continue;
         }
         const std::size_t count = countIn(counts, candidate.failureDomain);
@@ -60,14 +60,14 @@
     return best;
 }
 
-//! A sound voter of the failure domain with the most of them; the leader only where it is the only one.
-std::optional<VmName> findCrowded(const Membership &current, const MemberCandidates &candidates,
-                                  const DomainCounts &counts)
+//! An eligible voter of the failure domain with the most of them; preferably not the leader.
+std::optional<VmName> findVoterInLargestDomain(const Membership &current, const MemberCandidates &candidates,
+                                               const DomainCounts &counts)
 {
     std::optional<VmName> best;
     for (const VmName &voter : current.voters) {
         const MemberCandidate &candidate = find(candidates, voter);
-        if (!isSound(candidate)) {
+        if (!isEligible(candidate)) {
             continue;
         }
         if (!best) {
@@ -84,8 +84,8 @@
     return best;
 }
 
-//! A voter that is lost, or else one that is to be emptied.
-std::optional<VmName> findInvalid(const Membership &current, const MemberCandidates &candidates)
+//! A lost voter, or else a retiring one.
+std::optional<VmName> findVoterToReplace(const Membership &current, const MemberCandidates &candidates)
 {
     std::optional<VmName> retiring;
     for (const VmName &voter : current.voters) {
@@ -100,20 +100,20 @@
     return retiring;
 }
 
-//! True when one more voter is needed: for the number, for one that has to go, or for a better spread.
+//! True if a new voter is needed to reach the desired number, to replace a voter, or to balance failure domains.
 bool needsVoter(const Membership &current, const MemberCandidates &candidates, const DomainCounts &counts,
                 std::size_t desiredVoters)
 {
-    if (current.voters.size() < desiredVoters || findInvalid(current, candidates)) {
+    if (current.voters.size() < desiredVoters || findVoterToReplace(current, candidates)) {
         return true;
     }
-    const std::optional<VmName> crowded = findCrowded(current, candidates, counts);
-    const std::optional<VmName> newcomer = findNewcomer(current, candidates, counts);
-    if (current.voters.size() > desiredVoters || !crowded || !newcomer) {
+    const std::optional<VmName> removable = findVoterInLargestDomain(current, candidates, counts);
+    const std::optional<VmName> newVoter = findNewVoter(current, candidates, counts);
+    if (current.voters.size() > desiredVoters || !removable || !newVoter) {
         return false;
     }
-    return countIn(counts, find(candidates, *crowded).failureDomain)
-        >= countIn(counts, find(candidates, *newcomer).failureDomain) + 2;
+    return countIn(counts, find(candidates, *removable).failureDomain)
+        >= countIn(counts, find(candidates, *newVoter).failureDomain) + 2;
 }
 
 } // namespace
@@ -122,18 +122,18 @@
                                          std::size_t desiredVoters)
 {
     Membership next = current;
-    const DomainCounts counts = countSoundVoters(current, candidates);
+    const DomainCounts counts = countEligibleVoters(current, candidates);
     if (current.voters.size() > desiredVoters) {
-        const std::optional<VmName> unsound = findInvalid(current, candidates);
-        if (const auto leaving = unsound ? unsound : findCrowded(current, candidates, counts)) {
-            next.voters.erase(*leaving);
+        const std::optional<VmName> toReplace = findVoterToReplace(current, candidates);
+        if (const auto removed = toReplace ? toReplace : findVoterInLargestDomain(current, candidates, counts)) {
+            next.voters.erase(*removed);
             return next;
         }
     }
     const bool isNeeded = needsVoter(current, candidates, counts, desiredVoters);
     for (const VmName &learner : current.learners) {
         const MemberCandidate &candidate = find(candidates, learner);
-        if (!isSound(candidate) || !isNeeded) {
+        if (!isEligible(candidate) || !isNeeded) {
             next.learners.erase(learner);
             return next;
         }
@@ -143,11 +143,11 @@
             return next;
         }
     }
-    const std::optional<VmName> newcomer = findNewcomer(current, candidates, counts);
-    if (!isNeeded || !current.learners.empty() || !newcomer) {
+    const std::optional<VmName> newVoter = findNewVoter(current, candidates, counts);
+    if (!isNeeded || !current.learners.empty() || !newVoter) {
         return std::nullopt;
     }
-    next.learners.insert(*newcomer);
+    next.learners.insert(*newVoter);
     return next;
 }
 
--- a/src/cardamompost/ledger/cp_membership_cache.cpp
+++ b/src/cardamompost/ledger/cp_membership_cache.cpp
@@ -7,10 +7,10 @@
 namespace cardamompost
 {
 
-bool MembershipCache::note(const GroupView &groupView)
+bool MembershipCache::update(const GroupView &groupView)
 {
-    // Only a newer document is no reason to write: changes come by the thousand and tell nothing of the way.
-    const bool isNew
+    // The document version is ignored: it changes often and does not help to find the group.
+    const bool hasChanged
         = groupView.leader != last_.leader || groupView.term != last_.term || groupView.members != last_.members;
     last_ = groupView;
     std::vector<VmName> peers = groupView.members;
@@ -23,7 +23,7 @@
         }
     }
     peers_ = std::move(peers);
-    return isNew;
+    return hasChanged;
 }
 
 std::string MembershipCache::encode(std::int64_t wallMs) const
@@ -47,7 +47,7 @@
         stored.cache.peers_ = decodeTexts(in.getPeers());
         return stored;
     } catch (const kj::Exception &) {
-        return makeError(ErrorKind::StorageCorrupt, "the bytes are not a peer book");
+        return makeError(ErrorKind::StorageCorrupt, "invalid membership cache");
     }
 }
 
--- a/src/cardamompost/ledger/cp_turn_texts.cpp
+++ b/src/cardamompost/ledger/cp_turn_texts.cpp
@@ -8,8 +8,8 @@
 void TurnTexts::add(LogIndex index, std::string text)
 {
     const std::size_t bytes = text.size();
-    // Applied again after a restart, the text may be on the disk already.
-    if (stored_.contains(index) || !items_.try_emplace(index, Item {std::move(text), std::nullopt}).second) {
+    // After a restart, entries are applied again whose texts may already be on disk.
+    if (stored_.contains(index) || !cached_.try_emplace(index, CachedText {std::move(text), std::nullopt}).second) {
         return;
     }
     memoryBytes_ += bytes;
@@ -20,23 +20,23 @@
 void TurnTexts::cache(LogIndex index, std::string text)
 {
     const std::size_t bytes = text.size();
-    const auto [item, isNew] = items_.try_emplace(index, Item {std::move(text), std::nullopt});
+    const auto [item, isNew] = cached_.try_emplace(index, CachedText {std::move(text), std::nullopt});
     if (!isNew) {
         return;
     }
     memoryBytes_ += bytes;
-    makeDroppable(index, item->second);
-    dropOldest();
+    makeEvictable(index, item->second);
+    evictLeastRecentlyUsed();
 }
 
 const std::string *TurnTexts::find(LogIndex index)
 {
-    const auto found = items_.find(index);
-    if (found == items_.end()) {
+    const auto found = cached_.find(index);
+    if (found == cached_.end()) {
         return nullptr;
     }
-    if (found->second.place) {
-        recent_.splice(recent_.begin(), recent_, *found->second.place);
+    if (found->second.lruPosition) {
+        lruList_.splice(lruList_.begin(), lruList_, *found->second.lruPosition);
     }
     return &found->second.text;
 }
@@ -54,112 +54,112 @@
     return all;
 }
 
-void TurnTexts::forget(LogIndex index)
+void TurnTexts::remove(LogIndex index)
 {
-    erase(index);
+    evict(index);
     unstored_.erase(index);
     missing_.erase(index);
     if (stored_.erase(index) != 0) {
-        forgotten_.push_back(index);
+        obsolete_.push_back(index);
     }
 }
 
 std::vector<LogIndex> TurnTexts::beginStoring()
 {
-    writing_.assign(unstored_.begin(), unstored_.end());
+    storing_.assign(unstored_.begin(), unstored_.end());
     unstored_.clear();
-    return writing_;
+    return storing_;
 }
 
 void TurnTexts::endStoring()
 {
-    for (const LogIndex index : std::exchange(writing_, {})) {
-        const auto item = items_.find(index);
-        if (item == items_.end()) {
-            // It expired while it was written.
-            forgotten_.push_back(index);
+    for (const LogIndex index : std::exchange(storing_, {})) {
+        const auto item = cached_.find(index);
+        if (item == cached_.end()) {
+            // The turn expired while its text was being written.
+            obsolete_.push_back(index);
             continue;
         }
         stored_.insert(index);
-        makeDroppable(index, item->second);
+        makeEvictable(index, item->second);
     }
-    dropOldest();
+    evictLeastRecentlyUsed();
 }
 
-std::vector<LogIndex> TurnTexts::takeForgotten()
+std::vector<LogIndex> TurnTexts::takeObsolete()
 {
-    return std::exchange(forgotten_, {});
+    return std::exchange(obsolete_, {});
 }
 
-void TurnTexts::noteFound(LogIndex index)
+void TurnTexts::markStored(LogIndex index)
 {
     stored_.insert(index);
 }
 
-void TurnTexts::noteFetched(LogIndex index)
+void TurnTexts::markFetched(LogIndex index)
 {
     if (missing_.erase(index) != 0) {
         stored_.insert(index);
     } else if (!stored_.contains(index)) {
-        forgotten_.push_back(index);
+        obsolete_.push_back(index);
     }
 }
 
 void TurnTexts::retain(const std::map<LogIndex, std::size_t> &sizes)
 {
-    std::vector<LogIndex> over;
-    for (const auto &[index, item] : items_) {
+    std::vector<LogIndex> obsolete;
+    for (const auto &[index, item] : cached_) {
         if (!sizes.contains(index)) {
-            over.push_back(index);
+            obsolete.push_back(index);
         }
     }
     for (const LogIndex index : stored_) {
         if (!sizes.contains(index)) {
-            over.push_back(index);
+            obsolete.push_back(index);
         }
     }
-    for (const LogIndex index : over) {
-        forget(index);
+    for (const LogIndex index : obsolete) {
+        remove(index);
     }
     missing_.clear();
     for (const auto &[index, bytes] : sizes) {
-        // What may be dropped and is not on the disk yet is still missing.
-        const auto item = items_.find(index);
-        const bool isHeld = stored_.contains(index) || (item != items_.end() && !item->second.place);
+        // An evictable text that is not on disk yet still counts as missing.
+        const auto item = cached_.find(index);
+        const bool isHeld = stored_.contains(index) || (item != cached_.end() && !item->second.lruPosition);
         if (!isHeld) {
             missing_.emplace_hint(missing_.end(), index, bytes);
         }
     }
 }
 
-void TurnTexts::makeDroppable(LogIndex index, Item &item)
+void TurnTexts::makeEvictable(LogIndex index, CachedText &item)
 {
-    if (item.place) {
+    if (item.lruPosition) {
         return;
     }
-    recent_.push_front(index);
-    item.place = recent_.begin();
-    droppableBytes_ += item.text.size();
+    lruList_.push_front(index);
+    item.lruPosition = lruList_.begin();
+    evictableBytes_ += item.text.size();
 }
 
-void TurnTexts::erase(LogIndex index)
+void TurnTexts::evict(LogIndex index)
 {
-    const auto item = items_.find(index);
-    if (item == items_.end()) {
+    const auto item = cached_.find(index);
+    if (item == cached_.end()) {
         return;
     }
     memoryBytes_ -= item->second.text.size();
-    if (item->second.place) {
-        droppableBytes_ -= item->second.text.size();
-        recent_.erase(*item->second.place);
+    if (item->second.lruPosition) {
+        evictableBytes_ -= item->second.text.size();
+        lruList_.erase(*item->second.lruPosition);
     }
-    items_.erase(item);
+    cached_.erase(item);
 }
 
-void TurnTexts::dropOldest()
+void TurnTexts::evictLeastRecentlyUsed()
 {
-    while (droppableBytes_ > cacheBytes_ && !recent_.empty()) {
-        erase(recent_.back());
+    while (evictableBytes_ > cacheBytes_ && !lruList_.empty()) {
+        evict(lruList_.back());
     }
 }
 
--- a/src/gateway/cp_group_discovery.cpp
+++ b/src/gateway/cp_group_discovery.cpp
@@ -60,7 +60,7 @@
     leader_ = group.leader;
     leaderTerm_ = group.term;
     hinted_.clear();
-    if (cache_.note(group)) {
+    if (cache_.update(group)) {
         storeSoon();
     }
 }
--- a/src/gateway/cp_ledger_service.cpp
+++ b/src/gateway/cp_ledger_service.cpp
@@ -111,7 +111,7 @@
     tellTimer_.cancel();
     texts_.stop();
     discovery_.stop();
-    for (const PendingUpdates::Question &question : pendingUpdates_.takeAll()) {
+    for (const PendingUpdates::PendingRequest &question : pendingUpdates_.takeAll()) {
         replyUpdate(question.request, question.replier, false);
     }
     answerWatchers(true);
@@ -158,7 +158,7 @@
 Result<void> LedgerService::restore(const RaftSnapshot &snapshot)
 {
     BOOST_OUTCOME_TRY(LedgerState fresh, LedgerState::decode(snapshot.state));
-    fresh.takeTexts(std::move(state_.texts()));
+    fresh.adoptTexts(std::move(state_.texts()));
     state_ = std::move(fresh);
     texts_.fetchMissing();
     parts_.log.info("ledger.restored", {{"index", snapshot.index}, {"turns", state_.turnCount()}});
--- a/src/gateway/cp_ledger_updates.cpp
+++ b/src/gateway/cp_ledger_updates.cpp
@@ -94,7 +94,7 @@
     }
     const TimePoint now = std::chrono::steady_clock::now();
     if (!leads()) {
-        for (const PendingUpdates::Question &question : pendingUpdates_.takeAll()) {
+        for (const PendingUpdates::PendingRequest &question : pendingUpdates_.takeAll()) {
             replyUpdate(question.request, question.replier, false);
         }
         return;
@@ -102,10 +102,10 @@
     offerDocument();
     pendingUpdates_.serve(
         now, [this](const UpdateRequest &request) { return isDue(request); },
-        [this](const PendingUpdates::Question &question) {
+        [this](const PendingUpdates::PendingRequest &question) {
             return replyUpdate(question.request, question.replier, true);
         });
-    for (const PendingUpdates::Question &question : pendingUpdates_.takeExpired(now)) {
+    for (const PendingUpdates::PendingRequest &question : pendingUpdates_.takeExpired(now)) {
         deferredUpdates_.add(isDue(question.request) ? 1 : 0);
         replyUpdate(question.request, question.replier, false);
     }
--- a/src/gateway/cp_turn_text_store.cpp
+++ b/src/gateway/cp_turn_text_store.cpp
@@ -44,7 +44,7 @@
 void TurnTextStore::open(LogStore &store)
 {
     for (const StoredEntry &entry : store.group(textGroup).entries) {
-        parts_.texts().noteFound(entry.index);
+        parts_.texts().markStored(entry.index);
     }
     scheduleTick();
 }
@@ -204,7 +204,7 @@
     for (const LogIndex index : texts.beginStoring()) {
         batch.putUnorderedEntry(textGroup, index, *texts.find(index));
     }
-    batch.forget(textGroup, texts.takeForgotten());
+    batch.forget(textGroup, texts.takeObsolete());
 }
 
 std::vector<LogIndex> TurnTextStore::nextToFetch() const
@@ -325,7 +325,7 @@
             for (const TurnText &item : *kept) {
                 requested_.erase(item.index);
                 if (isWritten) {
-                    parts_.texts().noteFetched(item.index);
+                    parts_.texts().markFetched(item.index);
                 }
             }
             advanceWaiting();
--- a/tests/ledger/cp_ledger_state.tests.cpp
+++ b/tests/ledger/cp_ledger_state.tests.cpp
@@ -35,7 +35,6 @@
 template<typename Action>
 TurnBeginStatus apply(LedgerState &state, Action action, std::int64_t nowMs = startMs)
 {
-    // Every command has an index of its own, as in a log.
     static LogIndex index = 0;
     return state.apply({nowMs, std::move(action)}, ++index);
 }
@@ -54,10 +53,8 @@
 
 BOOST_AUTO_TEST_SUITE(ledger_state)
 
-// Two sub-agents of one program begin turns at the same moment through two entries. Each turn alone fits into what is
-// left of the budget, both together don't: if only spent tokens counted, the caller would be billed for more than it
-// allowed.
-BOOST_AUTO_TEST_CASE(what_is_reserved_counts_until_the_turn_has_ended)
+// Two concurrent turns of one program must not exceed its budget together, even if each alone fits.
+BOOST_AUTO_TEST_CASE(reservation_counts_towards_the_budget_until_the_turn_finishes)
 {
     LedgerState state;
     BOOST_TEST(isStatus(apply(state, begin("a", 150)), TurnBeginStatus::Granted));
@@ -67,16 +64,15 @@
     BOOST_TEST(isStatus(apply(state, begin("c", 150)), TurnBeginStatus::Granted));
 }
 
-BOOST_AUTO_TEST_CASE(reservations_that_are_proposed_only_count_too)
+BOOST_AUTO_TEST_CASE(proposed_reservations_count_towards_the_budget)
 {
     const LedgerState state;
     BOOST_TEST(isStatus(state.check(begin("a", 150), 150), TurnBeginStatus::BudgetExhausted));
     BOOST_TEST(isStatus(state.check(begin("a", 150), 100), TurnBeginStatus::Granted));
 }
 
-// An entry loses the answer to a begin with the leader that gave it, and asks the next leader. The same attempt must
-// not be reserved twice, or a program would run out of budget by asking.
-BOOST_AUTO_TEST_CASE(the_same_attempt_is_reserved_once)
+// An entry retries a begin at the next leader when the reply was lost in a leader change.
+BOOST_AUTO_TEST_CASE(retried_begin_is_reserved_once)
 {
     LedgerState state;
     apply(state, begin("a", 200));
@@ -85,7 +81,7 @@
     BOOST_TEST(state.spent("program") == 50);
 }
 
-BOOST_AUTO_TEST_CASE(an_end_that_is_sent_again_settles_nothing_twice)
+BOOST_AUTO_TEST_CASE(repeated_finish_is_charged_once)
 {
     LedgerState state;
     apply(state, begin("a"));
@@ -95,7 +91,7 @@
     BOOST_TEST(state.turnCount() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_turn_that_did_not_run_gives_back_all_and_one_that_broke_off_keeps_what_was_handed_out)
+BOOST_AUTO_TEST_CASE(turn_that_did_not_run_is_free_and_broken_turn_is_charged_for_returned_tokens)
 {
     LedgerState state;
     apply(state, begin("a", 200));
@@ -107,7 +103,7 @@
     BOOST_TEST(!state.hasTurn("b"));
 }
 
-BOOST_AUTO_TEST_CASE(a_history_is_every_turn_before_oldest_first)
+BOOST_AUTO_TEST_CASE(history_contains_all_previous_turns_oldest_first)
 {
     LedgerState state;
     apply(state, finish("a", 1));
@@ -118,9 +114,7 @@
     BOOST_TEST(isStatus(apply(state, begin("c", 1, -1, "b")), TurnBeginStatus::Granted));
 }
 
-// An officer comes back to a plan review after the first turns are older than the retention, but the last one isn't:
-// the whole history must still be there.
-BOOST_AUTO_TEST_CASE(a_history_is_kept_as_long_as_its_last_turn)
+BOOST_AUTO_TEST_CASE(history_is_retained_as_long_as_its_last_turn)
 {
     LedgerState state;
     apply(state, finish("a", 1), startMs);
@@ -133,8 +127,7 @@
     BOOST_TEST(state.turnBytes() == (std::string("in-x;out-x\n") + "in-y;out-y\n").size());
 }
 
-// The time of day of one ledger VM is an hour ahead, and for some seconds it leads. With its time of day in the
-// commands, everything that programs had said expired at its first one, and callers were told that it is unknown.
+// Guards against early or postponed expiry after a leader change between VMs with different clocks.
 BOOST_AUTO_TEST_CASE(leaders_after_each_other_lose_nothing_whatever_their_clocks_say)
 {
     LedgerState state;
@@ -142,20 +135,19 @@
     LedgerClock first;
     first.takeOver(state.nowMs(), start);
     apply(state, finish("a", 1), first.nowMs(start + Milliseconds(5000)));
-    // Steady clocks of two machines have nothing in common.
+    // Steady clocks of different machines are unrelated.
     const TimePoint elsewhere = start + std::chrono::hours(1000);
     LedgerClock second;
     second.takeOver(state.nowMs(), elsewhere);
     apply(state, finish("b", 1, TurnEnding::Complete, "a"), second.nowMs(elsewhere + Milliseconds(59'000)));
     BOOST_TEST(state.hasTurn("a"));
-    // Retention goes on over the change of leaders: it does not begin anew either.
+    // The leader change does not restart the retention time.
     apply(state, finish("c", 1), second.nowMs(elsewhere + Milliseconds(180'000)));
     BOOST_TEST(!state.hasTurn("a"));
     BOOST_TEST(!state.hasTurn("b"));
 }
 
-// A loop that was stopped by its budget comes back half a minute later: what it spent must still count.
-BOOST_AUTO_TEST_CASE(what_a_program_spent_lives_as_long_as_its_turns)
+BOOST_AUTO_TEST_CASE(spent_tokens_are_retained_as_long_as_the_turns_of_the_program)
 {
     LedgerState state;
     apply(state, begin("a", 250));
@@ -163,7 +155,7 @@
     BOOST_TEST(isStatus(apply(state, begin("b", 10), startMs + 55'000), TurnBeginStatus::BudgetExhausted));
 }
 
-BOOST_AUTO_TEST_CASE(the_highest_version_of_a_document_stays_in_force)
+BOOST_AUTO_TEST_CASE(document_with_the_highest_version_wins)
 {
     LedgerState state;
     apply(state, RouteDocumentPut {5, "five"});
@@ -175,9 +167,8 @@
     BOOST_TEST(state.document() == "nine");
 }
 
-// A member that was wiped gets a snapshot and then the same commands as the others. If it swept at other times than
-// they do, it would answer differently once it leads.
-BOOST_AUTO_TEST_CASE(a_member_from_a_snapshot_goes_on_as_the_others)
+// Guards against members that diverge because they expire items at different times.
+BOOST_AUTO_TEST_CASE(member_restored_from_a_snapshot_stays_identical_to_the_others)
 {
     LedgerState one;
     apply(one, begin("r", 30));
@@ -196,7 +187,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(commands_survive_their_encoding_and_other_bytes_are_refused)
+BOOST_AUTO_TEST_CASE(commands_round_trip_and_invalid_bytes_are_rejected)
 {
     const LedgerCommand command {startMs, finish("a", 12, TurnEnding::Broken, "p")};
     const LedgerCommand read = decodeLedgerCommand(encodeLedgerCommand(command)).value();
@@ -209,8 +200,8 @@
     BOOST_TEST(!LedgerState::decode("nonsense, but longer than a word").has_value());
 }
 
-// Guards limits over a change of leaders and a restored snapshot: what accounts used must be known to the next leader.
-BOOST_AUTO_TEST_CASE(what_accounts_used_lately_is_in_the_log_and_in_snapshots)
+// Account limits must survive leader changes and restores.
+BOOST_AUTO_TEST_CASE(recent_account_usage_round_trips_through_log_and_snapshot)
 {
     LedgerState state;
     LogIndex index = 0;
--- a/tests/ledger/cp_member_planner.tests.cpp
+++ b/tests/ledger/cp_member_planner.tests.cpp
@@ -9,17 +9,17 @@
 
 constexpr std::size_t three = 3;
 constexpr std::size_t five = 5;
-const MemberCandidate sound {true, false, true, {}, false};
+const MemberCandidate healthy {true, false, true, {}, false};
 const MemberCandidate lost {false, false, false, {}, false};
 const MemberCandidate retiring {true, true, true, {}, false};
-const MemberCandidate behind {true, false, false, {}, false};
+const MemberCandidate lagging {true, false, false, {}, false};
 
 Membership group(std::set<VmName> voters, std::set<VmName> learners = {})
 {
     return {std::move(voters), std::move(learners)};
 }
 
-//! Takes steps until there is none, each learner catching up at once.
+//! Applies planned changes until none is left; learners catch up immediately.
 Membership settle(Membership current, const MemberCandidates &candidates, std::size_t desired = three)
 {
     for (int step = 0; step < 40; ++step) {
@@ -30,24 +30,23 @@
         BOOST_TEST(next->isSingleStepFrom(current));
         current = *next;
     }
-    BOOST_TEST(false, "the plan never settles");
+    BOOST_TEST(false, "the plan does not converge");
     return current;
 }
 
-//! Sound VMs, so many in each of five failure domains; their names go by domain, as addresses do.
-MemberCandidates fleet(std::size_t inEach)
+//! Healthy VMs in five failure domains, with names ordered by domain.
+MemberCandidates fleet(std::size_t vmsPerDomain)
 {
     MemberCandidates all;
     for (const std::string domain : {"apapa", "ikorodu", "lekki", "onne", "tincan"}) {
-        for (std::size_t i = 1; i <= inEach; ++i) {
+        for (std::size_t i = 1; i <= vmsPerDomain; ++i) {
             all[domain + "-" + std::to_string(i)] = {true, false, true, domain, false};
         }
     }
     return all;
 }
 
-//! Voters by failure domain.
-std::map<std::string, std::size_t> spread(const Membership &members, const MemberCandidates &all)
+std::map<std::string, std::size_t> votersByDomain(const Membership &members, const MemberCandidates &all)
 {
     std::map<std::string, std::size_t> counts;
     for (const VmName &voter : members.voters) {
@@ -59,7 +58,7 @@
 std::size_t mostInOneDomain(const Membership &members, const MemberCandidates &all)
 {
     std::size_t most = 0;
-    for (const auto &[domain, count] : spread(members, all)) {
+    for (const auto &[domain, count] : votersByDomain(members, all)) {
         most = std::max(most, count);
     }
     return most;
@@ -76,17 +75,16 @@
 
 BOOST_AUTO_TEST_SUITE(member_planner)
 
-BOOST_AUTO_TEST_CASE(a_sound_group_is_left_alone_whoever_else_is_there)
+BOOST_AUTO_TEST_CASE(healthy_group_is_unchanged_when_other_vms_are_available)
 {
-    const MemberCandidates all {{"a", sound}, {"b", sound}, {"c", sound}, {"d", sound}};
+    const MemberCandidates all {{"a", healthy}, {"b", healthy}, {"c", healthy}, {"d", healthy}};
     BOOST_TEST(!planMembership(group({"a", "b", "c"}), all, three).has_value());
 }
 
-// A storage VM is gone for good and an empty one comes at another address a second later. A second VM may be lost a few
-// seconds after that; if the new one did not vote by then, or the old one still counted, nothing could be committed.
-BOOST_AUTO_TEST_CASE(a_lost_voter_is_replaced_and_leaves_only_after_its_successor_votes)
+// Guards against losing the quorum when a second VM fails shortly after the first.
+BOOST_AUTO_TEST_CASE(lost_voter_is_removed_only_after_its_replacement_votes)
 {
-    const MemberCandidates all {{"a", sound}, {"b", sound}, {"c", lost}, {"d", sound}};
+    const MemberCandidates all {{"a", healthy}, {"b", healthy}, {"c", lost}, {"d", healthy}};
     const auto first = planMembership(group({"a", "b", "c"}), all, three);
     BOOST_TEST((first == group({"a", "b", "c"}, {"d"})));
     const auto second = planMembership(*first, all, three);
@@ -96,56 +94,51 @@
     BOOST_TEST((settle(group({"a", "b", "c"}), all) == group({"a", "b", "d"})));
 }
 
-BOOST_AUTO_TEST_CASE(a_learner_votes_only_once_it_has_caught_up)
+BOOST_AUTO_TEST_CASE(learner_is_promoted_only_after_it_has_caught_up)
 {
-    const MemberCandidates all {{"a", sound}, {"b", sound}, {"c", lost}, {"d", behind}};
+    const MemberCandidates all {{"a", healthy}, {"b", healthy}, {"c", lost}, {"d", lagging}};
     BOOST_TEST(!planMembership(group({"a", "b", "c"}, {"d"}), all, three).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_voter_stays_while_nobody_can_take_its_place)
+BOOST_AUTO_TEST_CASE(lost_voter_stays_while_there_is_no_replacement)
 {
-    const MemberCandidates all {{"a", sound}, {"b", sound}, {"c", lost}};
+    const MemberCandidates all {{"a", healthy}, {"b", healthy}, {"c", lost}};
     BOOST_TEST(!planMembership(group({"a", "b", "c"}), all, three).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_vm_that_is_to_be_emptied_is_replaced_and_never_taken_in)
+BOOST_AUTO_TEST_CASE(retiring_vm_is_replaced_and_never_added)
 {
-    const MemberCandidates all {{"a", sound}, {"b", sound}, {"c", retiring}, {"d", sound}, {"e", retiring}};
+    const MemberCandidates all {{"a", healthy}, {"b", healthy}, {"c", retiring}, {"d", healthy}, {"e", retiring}};
     BOOST_TEST((settle(group({"a", "b", "c"}), all) == group({"a", "b", "d"})));
 }
 
-// While one VM is being emptied another loses its disk: the lost one goes first, since the one that is emptied still
-// holds all that was committed.
-BOOST_AUTO_TEST_CASE(of_two_voters_to_go_the_lost_one_goes_first)
+// The retiring voter still holds all committed entries; the lost one may not.
+BOOST_AUTO_TEST_CASE(lost_voter_is_removed_before_a_retiring_one)
 {
-    const MemberCandidates all {{"a", sound}, {"b", retiring}, {"c", lost}, {"d", sound}};
+    const MemberCandidates all {{"a", healthy}, {"b", retiring}, {"c", lost}, {"d", healthy}};
     const auto next = planMembership(group({"a", "b", "c", "d"}), all, three);
     BOOST_TEST((next == group({"a", "b", "d"})));
 }
 
-BOOST_AUTO_TEST_CASE(a_learner_that_is_not_needed_any_more_is_let_go)
+BOOST_AUTO_TEST_CASE(unneeded_learner_is_removed)
 {
-    const MemberCandidates all {{"a", sound}, {"b", sound}, {"c", sound}, {"d", sound}};
+    const MemberCandidates all {{"a", healthy}, {"b", healthy}, {"c", healthy}, {"d", healthy}};
     BOOST_TEST((planMembership(group({"a", "b", "c"}, {"d"}), all, three) == group({"a", "b", "c"})));
 }
 
-// Five of 36 ledger VMs hold what officers said. They were taken in by address, so four of the five stood in one hall;
-// its switch fails, and nobody anywhere gets an answer although 28 VMs run. Each hall has to hold at most one of the
-// five.
-BOOST_AUTO_TEST_CASE(members_of_a_large_fleet_stand_in_as_many_failure_domains_as_there_are)
+// Guards against losing the quorum with a single failure domain.
+BOOST_AUTO_TEST_CASE(voters_are_spread_over_all_failure_domains)
 {
     const MemberCandidates all = fleet(7);
     const Membership seeds = group({"apapa-1", "apapa-2", "tincan-1"});
     const Membership grown = settle(seeds, all, five);
     BOOST_TEST(grown.voters.size() == five);
     BOOST_TEST(mostInOneDomain(grown, all) == 1U);
-    const Membership crowded = group({"apapa-1", "apapa-2", "apapa-4", "apapa-5", "tincan-1"});
-    BOOST_TEST(mostInOneDomain(settle(crowded, all, five), all) == 1U);
+    const Membership unbalanced = group({"apapa-1", "apapa-2", "apapa-4", "apapa-5", "tincan-1"});
+    BOOST_TEST(mostInOneDomain(settle(unbalanced, all, five), all) == 1U);
 }
 
-// A whole hall goes dark and comes back an hour later. Meanwhile its member is replaced from the halls that are left,
-// no two more of one hall; afterwards the group is spread as before, without anybody's doing.
-BOOST_AUTO_TEST_CASE(a_failure_domain_that_is_lost_and_comes_back_leaves_the_group_spread)
+BOOST_AUTO_TEST_CASE(group_is_rebalanced_after_a_failure_domain_fails_and_recovers)
 {
     MemberCandidates all = fleet(7);
     Membership members = settle(group({"apapa-1", "apapa-2", "tincan-1"}), all, five);
@@ -153,7 +146,7 @@
         setLive(all, domain, false);
         members = settle(members, all, five);
         BOOST_TEST(members.voters.size() == five);
-        BOOST_TEST(spread(members, all)[domain] == 0U);
+        BOOST_TEST(votersByDomain(members, all)[domain] == 0U);
         BOOST_TEST(mostInOneDomain(members, all) == 2U);
         setLive(all, domain, true);
         members = settle(members, all, five);
@@ -162,7 +155,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_retired_or_replaced_member_keeps_the_group_spread)
+BOOST_AUTO_TEST_CASE(replacing_retired_or_lost_members_keeps_failure_domains_balanced)
 {
     MemberCandidates all = fleet(7);
     Membership members = settle(group({"apapa-1", "apapa-2", "tincan-1"}), all, five);
@@ -178,8 +171,8 @@
     }
 }
 
-// Programs wait while another VM takes the lead over. A group that is only moved to other halls need not cost that.
-BOOST_AUTO_TEST_CASE(the_leader_stays_while_others_can_make_room)
+// Rebalancing must not cause an avoidable leader change.
+BOOST_AUTO_TEST_CASE(leader_is_not_moved_while_another_voter_can_be)
 {
     MemberCandidates all = fleet(7);
     all["apapa-1"].isLeader = true;
@@ -188,8 +181,8 @@
     BOOST_TEST(mostInOneDomain(members, all) == 1U);
 }
 
-// Three halls and five members: two, two and one is all there is, and nothing is moved to and fro for it.
-BOOST_AUTO_TEST_CASE(a_group_that_is_spread_as_far_as_it_can_be_is_left_alone)
+// Guards against a plan that oscillates when the voters cannot be spread evenly.
+BOOST_AUTO_TEST_CASE(group_that_is_spread_as_evenly_as_possible_is_unchanged)
 {
     MemberCandidates all = fleet(4);
     setLive(all, "lekki", false);
@@ -199,13 +192,13 @@
     BOOST_TEST(!planMembership(members, all, five).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_voter_too_many_leaves_the_failure_domain_with_the_most)
+BOOST_AUTO_TEST_CASE(excess_voter_is_removed_from_the_failure_domain_with_the_most)
 {
     const MemberCandidates all = fleet(2);
     const Membership six = group({"apapa-1", "ikorodu-1", "lekki-1", "onne-1", "tincan-1", "tincan-2"});
     const auto next = planMembership(six, all, five);
     BOOST_REQUIRE(next.has_value());
-    BOOST_TEST(spread(*next, all)["tincan"] == 1U);
+    BOOST_TEST(votersByDomain(*next, all)["tincan"] == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/ledger/cp_membership_cache.tests.cpp
+++ b/tests/ledger/cp_membership_cache.tests.cpp
@@ -17,13 +17,13 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(peer_book)
+BOOST_AUTO_TEST_SUITE(membership_cache)
 
-BOOST_AUTO_TEST_CASE(a_book_is_read_back_as_it_was_written)
+BOOST_AUTO_TEST_CASE(cache_round_trips_through_its_encoding)
 {
     MembershipCache cache;
-    cache.note(groupView(3, {"a:1", "b:1", "c:1"}, 17));
-    cache.note(groupView(4, {"b:1", "c:1", "d:1"}, 18));
+    cache.update(groupView(3, {"a:1", "b:1", "c:1"}, 17));
+    cache.update(groupView(4, {"b:1", "c:1", "d:1"}, 18));
     const auto stored = MembershipCache::decode(cache.encode(writtenAt));
     BOOST_REQUIRE(stored.has_value());
     BOOST_TEST(stored.value().wallMs == writtenAt);
@@ -31,34 +31,33 @@
     BOOST_TEST((stored.value().cache.peers() == cache.peers()));
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_book_are_an_error)
+BOOST_AUTO_TEST_CASE(invalid_bytes_are_an_error)
 {
-    BOOST_TEST(!MembershipCache::decode("no book").has_value());
+    BOOST_TEST(!MembershipCache::decode("not a cache").has_value());
     BOOST_TEST(!MembershipCache::decode(std::string(64, '\xff')).has_value());
 }
 
-// The group moved on, VM by VM, while this one was off. Those that left may know where it went, so they are kept behind
-// those that count now, and the oldest go first.
-BOOST_AUTO_TEST_CASE(former_members_are_kept_behind_the_present_ones_up_to_a_number)
+// Former members may know the current group, even if all of its members were replaced.
+BOOST_AUTO_TEST_CASE(former_members_are_kept_after_the_current_ones_up_to_the_limit)
 {
     MembershipCache cache;
     for (Term term = 1; term <= 40; ++term) {
         const std::string base = "vm-" + std::to_string(term);
-        cache.note(groupView(term, {base + "a:1", base + "b:1", base + "c:1"}));
+        cache.update(groupView(term, {base + "a:1", base + "b:1", base + "c:1"}));
     }
     BOOST_TEST(cache.peers().size() == MembershipCache::maxPeers);
     BOOST_TEST(cache.peers().front() == "vm-40a:1");
     BOOST_TEST(cache.peers()[3] == "vm-39a:1");
 }
 
-// Thousands of changes of the document a day are no reason to write to each ledger VM's disk.
-BOOST_AUTO_TEST_CASE(only_a_change_of_the_way_is_worth_storing)
+// Guards against a disk write on each ledger VM for every document update.
+BOOST_AUTO_TEST_CASE(only_a_change_of_leader_term_or_members_requires_storing)
 {
     MembershipCache cache;
-    BOOST_TEST(cache.note(groupView(3, {"a:1", "b:1", "c:1"}, 17)));
-    BOOST_TEST(!cache.note(groupView(3, {"a:1", "b:1", "c:1"}, 18)));
-    BOOST_TEST(cache.note(groupView(4, {"a:1", "b:1", "c:1"}, 18)));
-    BOOST_TEST(cache.note(groupView(4, {"a:1", "b:1", "d:1"}, 18)));
+    BOOST_TEST(cache.update(groupView(3, {"a:1", "b:1", "c:1"}, 17)));
+    BOOST_TEST(!cache.update(groupView(3, {"a:1", "b:1", "c:1"}, 18)));
+    BOOST_TEST(cache.update(groupView(4, {"a:1", "b:1", "c:1"}, 18)));
+    BOOST_TEST(cache.update(groupView(4, {"a:1", "b:1", "d:1"}, 18)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/ledger/cp_turn_texts.tests.cpp
+++ b/tests/ledger/cp_turn_texts.tests.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t cacheBytes = 10;
 
-//! Stores all that waits, as a snapshot does.
+//! Marks all unstored texts as stored.
 void store(TurnTexts &texts)
 {
     static_cast<void>(texts.beginStoring());
@@ -29,9 +29,8 @@
 
 BOOST_AUTO_TEST_SUITE(turn_texts)
 
-// A ledger VM of 120 MB held all that programs had said in memory: after a minute of a grown day it was ended for that,
-// one VM after the other, and nobody was served any more.
-BOOST_AUTO_TEST_CASE(what_is_on_the_disk_takes_no_more_memory_than_the_cache)
+// Guards against running out of memory as the retained texts grow.
+BOOST_AUTO_TEST_CASE(memory_of_stored_texts_is_bounded_by_the_cache_size)
 {
     TurnTexts texts(cacheBytes);
     for (LogIndex index = 1; index <= 100; ++index) {
@@ -44,7 +43,7 @@
     BOOST_TEST(texts.find(1) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_not_on_the_disk_yet_stays_in_memory)
+BOOST_AUTO_TEST_CASE(unstored_texts_are_not_evicted)
 {
     TurnTexts texts(cacheBytes);
     for (LogIndex index = 1; index <= 10; ++index) {
@@ -59,7 +58,7 @@
     BOOST_TEST(texts.beginStoring() == std::vector<LogIndex> {11}, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(the_texts_used_last_stay)
+BOOST_AUTO_TEST_CASE(least_recently_used_text_is_evicted_first)
 {
     TurnTexts texts(cacheBytes);
     texts.add(1, "12345");
@@ -71,26 +70,24 @@
     BOOST_TEST(texts.find(2) == nullptr);
 }
 
-// A turn expires in the moment in which its text is being written. Without being told, the store would keep the text
-// for good.
-BOOST_AUTO_TEST_CASE(a_text_that_expires_while_it_is_written_is_forgotten_on_the_disk_too)
+// Guards against a text that stays on disk forever.
+BOOST_AUTO_TEST_CASE(text_that_expires_while_being_written_is_deleted_from_disk)
 {
     TurnTexts texts(cacheBytes);
     texts.add(1, "a");
     texts.add(2, "b");
     static_cast<void>(texts.beginStoring());
-    texts.forget(1);
-    BOOST_TEST(texts.takeForgotten().empty());
+    texts.remove(1);
+    BOOST_TEST(texts.takeObsolete().empty());
     texts.endStoring();
-    BOOST_TEST(texts.takeForgotten() == std::vector<LogIndex> {1}, boost::test_tools::per_element());
-    BOOST_TEST(texts.takeForgotten().empty());
-    texts.forget(2);
-    BOOST_TEST(texts.takeForgotten() == std::vector<LogIndex> {2}, boost::test_tools::per_element());
+    BOOST_TEST(texts.takeObsolete() == std::vector<LogIndex> {1}, boost::test_tools::per_element());
+    BOOST_TEST(texts.takeObsolete().empty());
+    texts.remove(2);
+    BOOST_TEST(texts.takeObsolete() == std::vector<LogIndex> {2}, boost::test_tools::per_element());
 }
 
-// A member that was away too long gets a snapshot. It must ask for just those texts that it lacks, and void what the
-// others have forgotten meanwhile.
-BOOST_AUTO_TEST_CASE(after_a_snapshot_just_what_is_lacking_is_missing)
+// A lagging member fetches only the texts it lacks and deletes those that have expired meanwhile.
+BOOST_AUTO_TEST_CASE(after_a_restore_texts_neither_pinned_nor_stored_are_missing)
 {
     TurnTexts texts(cacheBytes);
     texts.add(1, "a");
@@ -100,33 +97,33 @@
     texts.add(4, "d");
     texts.retain({{2, 1}, {3, 1}, {5, 1}, {6, 1}});
     BOOST_TEST(missingOf(texts) == (std::vector<LogIndex> {5, 6}), boost::test_tools::per_element());
-    BOOST_TEST(texts.takeForgotten() == std::vector<LogIndex> {1}, boost::test_tools::per_element());
+    BOOST_TEST(texts.takeObsolete() == std::vector<LogIndex> {1}, boost::test_tools::per_element());
     BOOST_TEST(texts.beginStoring() == std::vector<LogIndex> {3}, boost::test_tools::per_element());
-    // What was fetched counts only once it is on the disk, though it may be read before.
+    // A fetched text can be read at once but stays missing until it is on disk.
     texts.cache(5, "e");
     BOOST_TEST(*texts.find(5) == "e");
     BOOST_TEST(missingOf(texts).size() == 2U);
-    texts.noteFetched(5);
-    texts.forget(6);
+    texts.markFetched(5);
+    texts.remove(6);
     BOOST_TEST(texts.missing().empty());
-    texts.noteFetched(6);
-    BOOST_TEST(texts.takeForgotten() == std::vector<LogIndex> {6}, boost::test_tools::per_element());
+    texts.markFetched(6);
+    BOOST_TEST(texts.takeObsolete() == std::vector<LogIndex> {6}, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_restart_finds_what_the_disk_holds_and_voids_the_rest)
+BOOST_AUTO_TEST_CASE(restart_keeps_retained_texts_on_disk_and_deletes_the_rest)
 {
     TurnTexts texts(cacheBytes);
-    texts.noteFound(1);
-    texts.noteFound(2);
+    texts.markStored(1);
+    texts.markStored(2);
     texts.retain({{2, 1}});
     BOOST_TEST(texts.missing().empty());
-    BOOST_TEST(texts.takeForgotten() == std::vector<LogIndex> {1}, boost::test_tools::per_element());
-    // The log's entries behind the snapshot are applied again.
+    BOOST_TEST(texts.takeObsolete() == std::vector<LogIndex> {1}, boost::test_tools::per_element());
+    // Log entries after the snapshot are applied again.
     texts.add(2, "b");
     BOOST_TEST(texts.memoryBytes() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_state_from_a_snapshot_takes_over_what_the_member_had)
+BOOST_AUTO_TEST_CASE(restored_state_adopts_the_texts_of_the_replaced_state)
 {
     constexpr std::int64_t nowMs = 1000;
     LedgerState ahead;
@@ -142,9 +139,9 @@
     }
     TurnTexts own(cacheBytes);
     own.add(1, "t1");
-    own.add(9, "of a turn that is gone");
+    own.add(9, "text of an expired turn");
     LedgerState state = LedgerState::decode(ahead.encode()).value();
-    state.takeTexts(std::move(own));
+    state.adoptTexts(std::move(own));
     BOOST_TEST(state.history("t3") == (std::vector<LogIndex> {1, 2, 3}), boost::test_tools::per_element());
     BOOST_TEST(missingOf(state.texts()) == (std::vector<LogIndex> {2, 3}), boost::test_tools::per_element());
     BOOST_TEST(state.turnBytes() == ahead.turnBytes());
--- a/tests/ledger/cp_update_queue.tests.cpp
+++ b/tests/ledger/cp_update_queue.tests.cpp
@@ -12,16 +12,16 @@
 constexpr double megabyte = 1U << 20U;
 constexpr std::size_t entryCount = 67;
 constexpr Milliseconds oneWay {2};
-constexpr Milliseconds longestWait {500};
+constexpr Milliseconds maxWait {500};
 constexpr Milliseconds tick {10};
 
 using Queue = UpdateQueue<std::size_t>;
 
-//! Entries that ask for news without end, and a leader whose document changes; in virtual time, a millisecond a step.
-class World
+//! Simulates entries that poll a leader whose document changes, in virtual time with steps of one millisecond.
+class UpdateSimulation
 {
 public:
-    explicit World(std::size_t answerBytes)
+    explicit UpdateSimulation(std::size_t answerBytes)
         : answerBytes_(answerBytes)
         , entries_(entryCount)
     {
@@ -43,10 +43,10 @@
             }
         }
     }
-    //! The longest that any entry went by a document older than the newest one.
+    //! Longest time for which any entry had an outdated document.
     [[nodiscard]] Milliseconds worstLag() const
     {
-        return worst_;
+        return worstLag_;
     }
     [[nodiscard]] bool isUpToDate() const
     {
@@ -57,49 +57,49 @@
 private:
     struct Entry {
         std::uint64_t version = 0;
-        TimePoint nextAsk {};
-        bool hasAsked = false;
-        std::optional<TimePoint> lacksSince;
+        TimePoint nextRequestAt {};
+        bool hasPendingRequest = false;
+        std::optional<TimePoint> outdatedSince;
     };
 
     void step(std::size_t number)
     {
         Entry &entry = entries_[number];
         if (entry.version < version_) {
-            const TimePoint outdated = changedAt_[entry.version];
-            worst_ = std::max(worst_, std::chrono::duration_cast<Milliseconds>(now_ - outdated));
+            const TimePoint replacedAt = changedAt_[entry.version];
+            worstLag_ = std::max(worstLag_, std::chrono::duration_cast<Milliseconds>(now_ - replacedAt));
         }
-        if (entry.hasAsked || now_ < entry.nextAsk) {
+        if (entry.hasPendingRequest || now_ < entry.nextRequestAt) {
             return;
         }
         UpdateRequest request;
         request.documentVersion = entry.version;
-        request.staleMs = entry.lacksSince ? static_cast<std::uint32_t>(toMs(now_ - *entry.lacksSince)) : 0;
-        queue_.add(request, number, now_, longestWait);
-        entry.hasAsked = true;
+        request.staleMs = entry.outdatedSince ? static_cast<std::uint32_t>(toMs(now_ - *entry.outdatedSince)) : 0;
+        queue_.add(request, number, now_, maxWait);
+        entry.hasPendingRequest = true;
         serve();
     }
     void answer(std::size_t number, std::uint64_t version)
     {
         Entry &entry = entries_[number];
         entry.version = version;
-        entry.hasAsked = false;
-        entry.nextAsk = now_ + oneWay + oneWay;
+        entry.hasPendingRequest = false;
+        entry.nextRequestAt = now_ + oneWay + oneWay;
         if (version == version_) {
-            entry.lacksSince.reset();
-        } else if (!entry.lacksSince) {
-            entry.lacksSince = now_;
+            entry.outdatedSince.reset();
+        } else if (!entry.outdatedSince) {
+            entry.outdatedSince = now_;
         }
     }
     void serve()
     {
         const auto isDue = [&](const UpdateRequest &request) { return request.documentVersion < version_; };
-        queue_.serve(now_, isDue, [&](const Queue::Question &question) {
-            answer(question.replier, version_);
+        queue_.serve(now_, isDue, [&](const Queue::PendingRequest &pending) {
+            answer(pending.replier, version_);
             return answerBytes_;
         });
-        for (const Queue::Question &question : queue_.takeExpired(now_)) {
-            answer(question.replier, question.request.documentVersion);
+        for (const Queue::PendingRequest &pending : queue_.takeExpired(now_)) {
+            answer(pending.replier, pending.request.documentVersion);
         }
     }
 
@@ -107,53 +107,51 @@
     std::vector<Entry> entries_;
     Queue queue_ {{24 * megabyte, 4 * megabyte}};
     std::uint64_t version_ = 0;
-    //! When each version, from 1 on, took the place of the one before.
+    //! Time of each change; element i is the change to version i + 1.
     std::vector<TimePoint> changedAt_;
     TimePoint now_ {Milliseconds(1)};
-    Milliseconds worst_ {0};
+    Milliseconds worstLag_ {0};
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(news_queue)
+BOOST_AUTO_TEST_SUITE(update_queue)
 
-// Sixty-seven entries, answers of a megabyte, a change every third of a second: three times what may be sent. Some
-// entries were served at every change since they asked at the right moment, and others waited for six seconds. Now
-// each gets its turn: nobody waits much longer than it takes to serve everybody once, which is 2.8 s here.
-BOOST_AUTO_TEST_CASE(nobody_waits_longer_than_it_takes_to_serve_everybody_once)
+// Guards against starvation of some entries when changes need more bandwidth than the limit allows.
+BOOST_AUTO_TEST_CASE(no_entry_waits_much_longer_than_it_takes_to_serve_all_entries_once)
 {
     constexpr Milliseconds serveAll {2800};
-    World world(static_cast<std::size_t>(megabyte));
-    world.run(Milliseconds(15'000), Milliseconds(330));
-    BOOST_TEST(world.worstLag().count() < (serveAll + serveAll / 4).count());
-    world.run(Milliseconds(4000), Milliseconds(0));
-    BOOST_TEST(world.isUpToDate());
+    UpdateSimulation simulation(static_cast<std::size_t>(megabyte));
+    simulation.run(Milliseconds(15'000), Milliseconds(330));
+    BOOST_TEST(simulation.worstLag().count() < (serveAll + serveAll / 4).count());
+    simulation.run(Milliseconds(4000), Milliseconds(0));
+    BOOST_TEST(simulation.isUpToDate());
 }
 
-BOOST_AUTO_TEST_CASE(small_news_reach_everybody_within_a_round)
+BOOST_AUTO_TEST_CASE(small_updates_reach_all_entries_within_a_round_trip_and_a_tick)
 {
-    World world(10'000);
-    world.run(Milliseconds(5000), Milliseconds(330));
-    BOOST_TEST(world.worstLag().count() <= (oneWay + oneWay + tick).count());
+    UpdateSimulation simulation(10'000);
+    simulation.run(Milliseconds(5000), Milliseconds(330));
+    BOOST_TEST(simulation.worstLag().count() <= (oneWay + oneWay + tick).count());
 }
 
-BOOST_AUTO_TEST_CASE(who_has_lacked_something_for_longest_is_served_first_however_often_he_asked)
+BOOST_AUTO_TEST_CASE(entry_that_is_stale_for_longest_is_served_first)
 {
     Queue queue({megabyte, 1});
     const TimePoint now {Milliseconds(100'000)};
-    UpdateRequest early;
-    early.staleMs = 3000;
-    queue.add({}, 1, now, longestWait);
-    queue.add(early, 2, now + Milliseconds(400), longestWait);
+    UpdateRequest stale;
+    stale.staleMs = 3000;
+    queue.add({}, 1, now, maxWait);
+    queue.add(stale, 2, now + Milliseconds(400), maxWait);
     std::vector<std::size_t> served;
     const auto all = [](const UpdateRequest & /*request*/) { return true; };
-    const auto send = [&](const Queue::Question &question) {
-        served.push_back(question.replier);
+    const auto send = [&](const Queue::PendingRequest &pending) {
+        served.push_back(pending.replier);
         return static_cast<std::size_t>(megabyte);
     };
     queue.serve(now + Milliseconds(401), all, send);
     BOOST_TEST(served == std::vector<std::size_t> {2}, boost::test_tools::per_element());
-    // What was sent beyond the bound is paid off before the next.
+    // The token deficit has to be refilled before the next answer.
     queue.serve(now + Milliseconds(900), all, send);
     BOOST_TEST(served.size() == 1U);
     queue.serve(now + Milliseconds(1500), all, send);
@@ -161,12 +159,12 @@
     BOOST_TEST(queue.isEmpty());
 }
 
-BOOST_AUTO_TEST_CASE(questions_without_news_are_given_back_when_their_time_is_over)
+BOOST_AUTO_TEST_CASE(requests_without_updates_expire_at_their_deadline)
 {
     Queue queue({megabyte, megabyte});
     const TimePoint now {Milliseconds(100'000)};
-    queue.add({}, 1, now, longestWait);
-    queue.add({}, 2, now + Milliseconds(100), longestWait);
+    queue.add({}, 1, now, maxWait);
+    queue.add({}, 2, now + Milliseconds(100), maxWait);
     BOOST_TEST(queue.takeExpired(now + Milliseconds(499)).empty());
     const auto expired = queue.takeExpired(now + Milliseconds(500));
     BOOST_REQUIRE(expired.size() == 1U);
