--- a/src/gateway/cp_turn_text_store.cpp
+++ b/src/gateway/cp_turn_text_store.cpp
@@ -12,18 +12,18 @@
 namespace
 {
 
-// Bounds a reply's memory on both sides.
+// Bounds the memory for a reply on both sides.
 constexpr std::size_t maxReplyBytes = 256U << 10U;
 constexpr std::size_t maxReplyTexts = 512;
-// Requests for missing texts under way at once.
+// Concurrent requests for missing texts.
 constexpr unsigned maxFetches = 4;
 constexpr Milliseconds fetchTimeout {800};
-// A member that had none of what it was asked for, or was silent, is not asked again before this.
-constexpr Milliseconds degradedFor {500};
-// The leader has most to do: it is asked only while fewer others can answer.
-constexpr std::size_t enoughWithoutLeader = 2;
+// Backoff for a member that returned no texts or did not reply.
+constexpr Milliseconds degradedDuration {500};
+// Texts are fetched from the leader only if fewer other members are available.
+constexpr std::size_t minOtherMembers = 2;
 constexpr Milliseconds tickInterval {100};
-// Callers give a turn up after two seconds; whoever waits for its history has to hear before.
+// Shorter than the two seconds after which callers abandon a turn.
 constexpr Milliseconds readTimeout {1200};
 
 TimePoint timeNow()
@@ -70,7 +70,7 @@
     });
 }
 
-void TurnTextStore::read(std::vector<LogIndex> indexes, Done done)
+void TurnTextStore::read(std::vector<LogIndex> indexes, ReadCallback done)
 {
     if (std::optional<std::string> text = parts_.texts().join(indexes)) {
         done(std::move(text));
@@ -105,10 +105,10 @@
         finish(*read, isComplete);
         return true;
     }
-    if (!onDisk.empty() && !read->isReading) {
-        read->isReading = true;
+    if (!onDisk.empty() && !read->isReadingDisk) {
+        read->isReadingDisk = true;
         readDisk(std::move(onDisk), [this, read](Texts found) {
-            read->isReading = false;
+            read->isReadingDisk = false;
             for (auto &[index, text] : found) {
                 parts_.texts().cache(index, text);
                 read->texts.emplace(index, std::move(text));
@@ -130,7 +130,7 @@
 
 void TurnTextStore::finish(Read &read, bool isComplete)
 {
-    const Done done = std::exchange(read.done, {});
+    const ReadCallback done = std::exchange(read.done, {});
     if (!done) {
         return;
     }
@@ -157,7 +157,7 @@
             const StoredEntry *entry = store.group(textGroup).find(index);
             Result<LogEntry> text = entry != nullptr
                 ? store.read(textGroup, *entry)
-                : Result<LogEntry>(makeError(ErrorKind::StorageFailed, "the text was forgotten meanwhile"));
+                : Result<LogEntry>(makeError(ErrorKind::StorageFailed, "the text has expired"));
             if (text) {
                 found->emplace(index, std::move(text.value().payload));
             }
@@ -189,7 +189,7 @@
         replier->reply(std::move(*reply));
         return;
     }
-    // Not into the cache: what another member copies says nothing of what callers will ask for.
+    // Not cached, since a fetch by another member does not predict reads by callers.
     readDisk(std::move(onDisk), [reply, replier](Texts found) {
         for (auto &[index, text] : found) {
             reply->texts.push_back({index, std::move(text)});
@@ -207,11 +207,11 @@
     batch.forget(textGroup, texts.takeObsolete());
 }
 
-std::vector<LogIndex> TurnTextStore::nextToFetch() const
+std::vector<LogIndex> TurnTextStore::selectMissing() const
 {
     std::vector<LogIndex> indexes;
     std::size_t bytes = 0;
-    const auto want = [&](LogIndex index, std::size_t size) {
+    const auto addMissing = [&](LogIndex index, std::size_t size) {
         if (!requested_.contains(index) && bytes < maxReplyBytes && indexes.size() < maxReplyTexts) {
             indexes.push_back(index);
             bytes += size;
@@ -221,19 +221,19 @@
     for (const auto &read : waiting_) {
         for (const LogIndex index : read->indexes) {
             if (const auto found = missing.find(index); found != missing.end()) {
-                want(index, found->second);
+                addMissing(index, found->second);
             }
         }
     }
     if (!indexes.empty()) {
         return indexes;
     }
-    // Oldest first, so that the store's entries grow at their end.
+    // Oldest first, so that entries are appended to the store in order.
     for (const auto &[index, size] : missing) {
         if (bytes >= maxReplyBytes || indexes.size() >= maxReplyTexts) {
             break;
         }
-        want(index, size);
+        addMissing(index, size);
     }
     return indexes;
 }
@@ -241,12 +241,12 @@
 void TurnTextStore::fetchMissing()
 {
     const std::size_t count = parts_.texts().missing().size();
-    if ((count != 0) != wasMissing_) {
-        wasMissing_ = count != 0;
-        parts_.log.info(wasMissing_ ? "texts.missing" : "texts.whole", {{"texts", count}});
+    if ((count != 0) != hadMissing_) {
+        hadMissing_ = count != 0;
+        parts_.log.info(hadMissing_ ? "texts.missing" : "texts.whole", {{"texts", count}});
     }
     while (count != 0 && !isStopped_ && fetches_ < maxFetches) {
-        std::vector<LogIndex> indexes = nextToFetch();
+        std::vector<LogIndex> indexes = selectMissing();
         const std::optional<VmName> member = pickMember();
         if (indexes.empty() || !member) {
             return;
@@ -259,13 +259,13 @@
 {
     std::vector<VmName> members = parts_.members();
     std::erase_if(members, [&](const VmName &member) {
-        const auto poor = degradedUntil_.find(member);
-        return !parts_.peers.client(member) || (poor != degradedUntil_.end() && timeNow() < poor->second);
+        const auto degraded = degradedUntil_.find(member);
+        return !parts_.peers.client(member) || (degraded != degradedUntil_.end() && timeNow() < degraded->second);
     });
     if (members.empty()) {
         return std::nullopt;
     }
-    const std::size_t usable = members.size() > enoughWithoutLeader ? members.size() - 1 : members.size();
+    const std::size_t usable = members.size() > minOtherMembers ? members.size() - 1 : members.size();
     return members[nextMember_++ % usable];
 }
 
@@ -281,23 +281,23 @@
         });
 }
 
-void TurnTextStore::onFetched(const VmName &member, const std::vector<LogIndex> &asked, TurnTextsReply reply)
+void TurnTextStore::onFetched(const VmName &member, const std::vector<LogIndex> &requested, TurnTextsReply reply)
 {
     --fetches_;
     if (isStopped_) {
         return;
     }
-    for (const LogIndex index : asked) {
+    for (const LogIndex index : requested) {
         requested_.erase(index);
     }
     if (reply.texts.empty()) {
-        degradedUntil_[member] = timeNow() + degradedFor;
+        degradedUntil_[member] = timeNow() + degradedDuration;
         fetchMissing();
         return;
     }
     fetched_.add(reply.texts.size());
     for (const TurnText &item : reply.texts) {
-        // Not asked for again while it is written.
+        // Prevents another fetch while the text is being written.
         requested_.insert(item.index);
         for (const auto &read : waiting_) {
             if (std::find(read->indexes.begin(), read->indexes.end(), item.index) != read->indexes.end()) {
--- a/src/gateway/cp_turn_text_store.hpp
+++ b/src/gateway/cp_turn_text_store.hpp
@@ -13,10 +13,10 @@
 namespace cardamompost
 {
 
-//! Brings what turns said to where it is needed: from the disk, or from another member while this one lacks it.
+//! Reads turn texts from memory or disk, and fetches missing ones from other members.
 //!
-//! A snapshot of the ledger holds no texts, so a member that was given one asks the others for them, oldest first, and
-//! until it has them all it is none that may take a lost member's place. Thread-safety: none; the io_context's thread.
+//! A snapshot of the ledger contains no texts, so a member restored from one fetches them, oldest first. It does not
+//! count as caught up until it has all of them. Thread-safety: none; runs on the io_context's thread.
 class TurnTextStore
 {
 public:
@@ -26,27 +26,27 @@
         PeerClients &peers;
         EventLog &log;
         MetricRegistry &metrics;
-        //! Of the state that is in force now.
+        //! Texts of the current state, which a restore replaces.
         std::function<TurnTexts &()> texts;
-        //! Whom to ask, the busiest last.
+        //! Members to fetch from, the leader last.
         std::function<std::vector<VmName>()> members;
     };
-    //! The texts one after the other; nothing when they can't be had in time.
-    using Done = std::function<void(std::optional<std::string> text)>;
+    //! Called with the concatenated texts, or nothing if they are not available in time.
+    using ReadCallback = std::function<void(std::optional<std::string> text)>;
 
     explicit TurnTextStore(Parts parts);
 
-    //! Learns what the disk holds. Only before the disk's thread runs.
+    //! Registers the texts on disk. Must be called before the disk thread starts.
     void open(LogStore &store);
     void stop();
 
-    //! Answers at once when all is in memory.
-    void read(std::vector<LogIndex> indexes, Done done);
-    //! Another member asks.
+    //! Calls back synchronously if all texts are in memory.
+    void read(std::vector<LogIndex> indexes, ReadCallback done);
+    //! Handles a request from another member.
     void onRequest(const TurnTextsRequest &request, std::shared_ptr<PeerReplier> replier);
-    //! What a snapshot's batch has to hold besides, so that the log may be cut behind it.
+    //! Adds the texts that must be stored before the log is compacted, and deletions of obsolete ones.
     void addToSnapshot(LogBatch &batch);
-    //! To be called when texts may be missing, and from time to time.
+    //! Starts fetches for missing texts, up to the concurrency limit.
     void fetchMissing();
 
 private:
@@ -54,21 +54,21 @@
     struct Read {
         std::vector<LogIndex> indexes;
         Texts texts;
-        Done done;
+        ReadCallback done;
         TimePoint deadline;
-        bool isReading = false;
+        bool isReadingDisk = false;
     };
 
-    //! Takes what is in memory, and asks the disk for what it holds. \returns true when the read is over
+    //! Collects texts from memory and starts a disk read for stored ones. \returns true if the read is finished
     bool advance(const std::shared_ptr<Read> &read);
     void advanceWaiting();
     void finish(Read &read, bool isComplete);
     void readDisk(std::vector<LogIndex> indexes, std::function<void(Texts texts)> done);
-    [[nodiscard]] std::vector<LogIndex> nextToFetch() const;
-    //! Nothing while none is known that could answer.
+    [[nodiscard]] std::vector<LogIndex> selectMissing() const;
+    //! Returns nothing if no member is available.
     [[nodiscard]] std::optional<VmName> pickMember();
     void fetch(const VmName &member, std::vector<LogIndex> indexes);
-    void onFetched(const VmName &member, const std::vector<LogIndex> &asked, TurnTextsReply reply);
+    void onFetched(const VmName &member, const std::vector<LogIndex> &requested, TurnTextsReply reply);
     void storeFetched(std::vector<TurnText> texts);
     void scheduleTick();
 
@@ -76,13 +76,13 @@
     boost::asio::steady_timer timer_;
     bool isStopped_ = false;
     std::vector<std::shared_ptr<Read>> waiting_;
-    //! Asked for, or being written.
+    //! Indexes being fetched or written.
     std::set<LogIndex> requested_;
     unsigned fetches_ = 0;
     std::size_t nextMember_ = 0;
-    //! Members that had none of what they were asked for, or did not answer.
+    //! Members that returned no texts or did not reply, and when to retry them.
     std::unordered_map<VmName, TimePoint> degradedUntil_;
-    bool wasMissing_ = false;
+    bool hadMissing_ = false;
     Counter &fetched_;
     Counter &diskReads_;
 };
