--- a/src/gateway/cp_consensus_driver.cpp
+++ b/src/gateway/cp_consensus_driver.cpp
@@ -17,10 +17,9 @@
 
 constexpr Milliseconds tickInterval {10};
 constexpr Milliseconds proposalTimeout {2500};
-// Shortest time between two rounds of a leader.
-constexpr Milliseconds leaderPace {4};
-// A member that was silent for so long may be behind a connection that is dead without anybody having noticed.
-constexpr Milliseconds reopenAfter {700};
+constexpr Milliseconds minRoundInterval {4};
+// Silence after which the connection to a member is reopened, since it may be dead.
+constexpr Milliseconds silenceTimeout {700};
 constexpr std::size_t entryOverheadBytes = 128;
 constexpr std::size_t snapshotPartBytes = 256U << 10U;
 
@@ -35,7 +34,7 @@
     : parts_(parts)
     , state_(state)
     , timer_(parts.io)
-    , paceTimer_(parts.io)
+    , roundTimer_(parts.io)
     , committed_(parts.metrics.counter("cardamompost_ledger_commits_total"))
 {
 }
@@ -47,7 +46,7 @@
         snapshotBytes_ = stored.snapshot.state.size();
     }
     applied_ = stored.snapshot.index;
-    cutTurn_ = static_cast<unsigned>(stableHash(options.self) % CompactionPolicy::turns);
+    compactionSlot_ = static_cast<unsigned>(stableHash(options.self) % CompactionPolicy::turns);
     node_.emplace(std::move(options), std::move(stored), initial, timeNow());
     scheduleTick();
     return boost::outcome_v2::success();
@@ -57,8 +56,8 @@
 {
     isStopped_ = true;
     timer_.cancel();
-    paceTimer_.cancel();
-    failWaiting();
+    roundTimer_.cancel();
+    failPending();
 }
 
 void ConsensusDriver::scheduleTick()
@@ -81,13 +80,12 @@
     state_.onChange();
 }
 
-void ConsensusDriver::reopenIfSilent(const VmName &member)
+void ConsensusDriver::reconnectIfSilent(const VmName &member)
 {
-    // Guards against connections that go silent for good while new ones work: messages between members have no replies
-    // of their own, so nothing else would show it before the kernel's time-out.
+    // Consensus messages are one-way, so a dead connection would otherwise go unnoticed until the kernel's timeout.
     const TimePoint now = timeNow();
-    if (silenceOf(member) > reopenAfter && now - lastReopened_[member] > reopenAfter) {
-        lastReopened_[member] = now;
+    if (silenceOf(member) > silenceTimeout && now - lastReconnected_[member] > silenceTimeout) {
+        lastReconnected_[member] = now;
         parts_.peers.reconnect(member);
     }
 }
@@ -102,7 +100,7 @@
 void ConsensusDriver::onMessage(RaftMessage message)
 {
     lastHeard_[message.from] = timeNow();
-    // A member whose disk has failed stays silent: it could promise or confirm what it can't keep.
+    // A member whose disk has failed must not vote or acknowledge entries.
     if (!isRunning() || !parts_.disk.isHealthy()) {
         return;
     }
@@ -110,24 +108,24 @@
     processReady();
 }
 
-bool ConsensusDriver::isPaced()
+bool ConsensusDriver::mustDeferRound()
 {
     if (node_->role() != RaftRole::Leader) {
         return false;
     }
     const TimePoint now = timeNow();
-    const auto since = now - lastReady_;
-    if (since >= leaderPace) {
-        lastReady_ = now;
+    const auto since = now - lastRoundAt_;
+    if (since >= minRoundInterval) {
+        lastRoundAt_ = now;
         return false;
     }
-    // Guards a leader with little processor time: each round costs it a message to every follower and one back, so
-    // under load what comes within a pace goes into one round. The first after a quiet time waits for nothing.
-    if (!isPaceArmed_) {
-        isPaceArmed_ = true;
-        paceTimer_.expires_after(leaderPace - since);
-        paceTimer_.async_wait([this](const boost::system::error_code &error) {
-            isPaceArmed_ = false;
+    // Batches proposals under load, since each round costs a message to and from every follower. The first round after
+    // an idle interval starts immediately.
+    if (!isRoundScheduled_) {
+        isRoundScheduled_ = true;
+        roundTimer_.expires_after(minRoundInterval - since);
+        roundTimer_.async_wait([this](const boost::system::error_code &error) {
+            isRoundScheduled_ = false;
             if (!error) {
                 processReady();
             }
@@ -138,7 +136,7 @@
 
 void ConsensusDriver::processReady()
 {
-    if (isBusy_ || isStopped_ || !node_->hasReady() || isPaced()) {
+    if (isBusy_ || isStopped_ || !node_->hasReady() || mustDeferRound()) {
         return;
     }
     isBusy_ = true;
@@ -152,8 +150,8 @@
         complete(*ready);
         return;
     }
-    // A leader's appends may leave while it syncs the same entries itself: they promise nothing in its name, and its
-    // own copy counts only once persisted() is called (the thesis, 10.2.1). A vote has to be synced first.
+    // A leader may send its appends while it writes the same entries: its own copy counts towards the quorum only after
+    // persisted() (Ongaro's Raft thesis, 10.2.1). A vote has to be durable before it is sent.
     if (!ready->hard && node_->role() == RaftRole::Leader) {
         send(std::exchange(ready->messages, {}));
     }
@@ -172,7 +170,7 @@
     };
     job.finish = [this, ready](const Result<void> &written) {
         asio::post(parts_.io, [this, ready, isWritten = written.has_value()] {
-            if (goesOnAfter(isWritten)) {
+            if (handleWriteResult(isWritten)) {
                 complete(*ready);
             }
         });
@@ -180,11 +178,11 @@
     parts_.disk.post(std::move(job));
 }
 
-bool ConsensusDriver::goesOnAfter(bool isWritten)
+bool ConsensusDriver::handleWriteResult(bool isWritten)
 {
     isStopped_ = isStopped_ || !isWritten;
     if (isStopped_) {
-        failWaiting();
+        failPending();
     }
     return !isStopped_;
 }
@@ -192,7 +190,7 @@
 void ConsensusDriver::send(std::vector<RaftMessage> messages)
 {
     for (RaftMessage &message : messages) {
-        reopenIfSilent(message.to);
+        reconnectIfSilent(message.to);
         if (const auto client = parts_.peers.client(message.to)) {
             client->notify(std::move(message));
         }
@@ -213,8 +211,8 @@
     }
     send(std::move(ready.messages));
     applyCommitted(ready.committed);
-    answerReads(ready);
-    compactIfLong();
+    completeReads(ready);
+    compactIfDue();
     state_.onChange();
     isBusy_ = false;
     processReady();
@@ -231,20 +229,20 @@
         committed_.add();
         auto proposal = proposals_.extract(entry.index);
         if (!proposal.empty()) {
-            // Another leader's entry at the index means that the proposed one is gone for good.
+            // An entry of another term at this index means that the proposed entry was overwritten.
             proposal.mapped().done(proposal.mapped().term == entry.term);
         }
     }
 }
 
-void ConsensusDriver::answerReads(const RaftReady &ready)
+void ConsensusDriver::completeReads(const RaftReady &ready)
 {
     for (const RaftReadyRead &read : ready.reads) {
         if (auto waiting = reads_.extract(read.id); !waiting.empty()) {
             confirmedReads_.emplace(read.index, std::move(waiting.mapped()));
         }
     }
-    // The state that is applied here has to include all that was committed when a read was asked for.
+    // A read may proceed once everything committed at the time of its request has been applied.
     while (!confirmedReads_.empty() && confirmedReads_.begin()->first <= applied_) {
         auto read = confirmedReads_.extract(confirmedReads_.begin());
         read.mapped()(true);
@@ -261,14 +259,14 @@
     const std::set<VmName> &learners = node_->membership().learners;
     return node_->role() == RaftRole::Leader
         && std::any_of(learners.begin(), learners.end(), [this](const VmName &learner) {
-               return node_->matchOf(learner) < node_->commitIndex() && silenceOf(learner) < reopenAfter;
+               return node_->matchOf(learner) < node_->commitIndex() && silenceOf(learner) < silenceTimeout;
            });
 }
 
-void ConsensusDriver::compactIfLong()
+void ConsensusDriver::compactIfDue()
 {
-    const CompactionPolicy cut {bytesSinceSnapshot_, snapshotBytes_, hasLaggingLearner(), cutTurn_};
-    if (!snapshotParts_.empty() || !cut.isDue()) {
+    const CompactionPolicy policy {bytesSinceSnapshot_, snapshotBytes_, hasLaggingLearner(), compactionSlot_};
+    if (!snapshotParts_.empty() || !policy.isDue()) {
         return;
     }
     std::string state = state_.encodeSnapshot();
@@ -279,22 +277,21 @@
     LogBatch texts;
     state_.addToSnapshot(texts);
     snapshotParts_ = splitBatch(std::move(texts), snapshotPartBytes);
-    // Last, since it voids the log's entries that hold the same; until then a restart finds these.
+    // Written last, since it discards the log entries from which a restart would rebuild the other parts.
     snapshotParts_.back().putSnapshot(controlGroup, node_->log().snapshot());
     storeSnapshot();
 }
 
 void ConsensusDriver::storeSnapshot()
 {
-    // Guards turns that wait for the disk: megabytes in one write hold up every append and vote behind them, at the
-    // leader for a third of a second, and entries ask for another leader meanwhile.
+    // Written in parts, so that appends and votes do not wait for one large write.
     DiskThread::Job job;
     job.group = snapshotParts_.size() > 1 ? textGroup : controlGroup;
     auto part = std::make_shared<LogBatch>(std::move(snapshotParts_.front()));
     job.prepare = [part](LogStore & /*store*/, LogBatch &batch) { batch.append(std::move(*part)); };
     job.finish = [this](const Result<void> &written) {
         asio::post(parts_.io, [this, isWritten = written.has_value()] {
-            if (!goesOnAfter(isWritten)) {
+            if (!handleWriteResult(isWritten)) {
                 return;
             }
             snapshotParts_.pop_front();
@@ -308,7 +305,7 @@
     parts_.disk.post(std::move(job));
 }
 
-void ConsensusDriver::propose(std::string payload, Committed done)
+void ConsensusDriver::propose(std::string payload, CommitCallback done)
 {
     if (!isRunning()) {
         done(false);
@@ -325,9 +322,9 @@
 
 void ConsensusDriver::expireProposals(TimePoint now)
 {
-    // Guards against silence: a deposed leader's proposal may be applied under its index much later, or never.
+    // A deposed leader's proposal may never be committed or overwritten.
     while (!proposals_.empty() && now - proposals_.begin()->second.since > proposalTimeout) {
-        const Committed done = std::move(proposals_.begin()->second.done);
+        const CommitCallback done = std::move(proposals_.begin()->second.done);
         proposals_.erase(proposals_.begin());
         done(false);
     }
@@ -369,9 +366,8 @@
     }
 }
 
-void ConsensusDriver::failWaiting()
+void ConsensusDriver::failPending()
 {
-    // Guards against silence: a member that has stopped would never answer those who wait for it.
     for (auto &[index, proposal] : std::exchange(proposals_, {})) {
         proposal.done(false);
     }
--- a/src/gateway/cp_consensus_driver.hpp
+++ b/src/gateway/cp_consensus_driver.hpp
@@ -15,7 +15,7 @@
 namespace cardamompost
 {
 
-//! What a consensus group replicates.
+//! State machine replicated by a consensus group.
 class IReplicatedState
 {
 public:
@@ -24,15 +24,15 @@
     virtual void apply(const LogEntry &entry) = 0;
     virtual Result<void> restore(const RaftSnapshot &snapshot) = 0;
     [[nodiscard]] virtual std::string encodeSnapshot() const = 0;
-    //! Adds what has to become durable together with the snapshot that was just made.
+    //! Adds data that must become durable before or together with the snapshot encoded last.
     virtual void addToSnapshot(LogBatch &batch) = 0;
     virtual void onSnapshotStored() = 0;
     //! Leadership, term or members may have changed.
     virtual void onChange() = 0;
 };
 
-//! Runs one member of a consensus group on one thread, with a disk thread beside it.
-//! Everything is called and answered on the io_context's thread.
+//! Runs one member of a consensus group, with disk writes on a separate thread.
+//! Thread-safety: none; calls and callbacks run on the io_context's thread.
 class ConsensusDriver
 {
 public:
@@ -43,22 +43,22 @@
         EventLog &log;
         MetricRegistry &metrics;
     };
-    //! Called once: whether the proposed entry is committed, and applied here.
-    using Committed = std::function<void(bool isCommitted)>;
+    //! Called once; `isCommitted` is true if the proposed entry was committed and applied here.
+    using CommitCallback = std::function<void(bool isCommitted)>;
 
     ConsensusDriver(Parts parts, IReplicatedState &state);
 
-    //! Starts from what the disk holds. Errors: StorageCorrupt.
+    //! Starts from the stored state. Errors: StorageCorrupt.
     Result<void> start(RaftOptions options, RaftStoredState stored, const Membership &initial);
     void stop();
 
     void onMessage(RaftMessage message);
-    void propose(std::string payload, Committed done);
-    //! Asks for a confirmation that this member leads and holds all that was committed before.
+    void propose(std::string payload, CommitCallback done);
+    //! Confirms with a quorum that this member leads and has applied all entries committed before the call.
     void confirmRead(std::function<void(bool)> done);
     //! Errors: as RaftNode::proposeMembership().
     Result<void> proposeMembership(const Membership &next);
-    //! Hands leadership to the voter that was heard from last.
+    //! Transfers leadership to the up-to-date voter with the most recent message.
     void handOver();
 
     [[nodiscard]] bool isStarted() const
@@ -77,24 +77,24 @@
     {
         return isRunning() && node_->hasLease(std::chrono::steady_clock::now());
     }
-    //! Index of the last entry that is applied here.
+    //! Index of the last applied entry.
     [[nodiscard]] LogIndex applied() const
     {
         return applied_;
     }
-    //! Empty while none is known.
+    //! Empty if unknown.
     [[nodiscard]] VmName leader() const
     {
         return isRunning() ? node_->leader() : VmName {};
     }
-    //! Time since a member's last message.
+    //! Time since a member's last message; the maximum if there was none.
     [[nodiscard]] Milliseconds silenceOf(const VmName &member) const;
 
 private:
     struct Proposal {
         Term term = 0;
         TimePoint since {};
-        Committed done;
+        CommitCallback done;
     };
 
     [[nodiscard]] bool isRunning() const
@@ -104,30 +104,30 @@
     void scheduleTick();
     void tick();
     void expireProposals(TimePoint now);
-    void reopenIfSilent(const VmName &member);
+    void reconnectIfSilent(const VmName &member);
     void processReady();
-    //! True while the leader's next round has to wait; it comes by itself then.
-    [[nodiscard]] bool isPaced();
+    //! Limits the rate of a leader's rounds. \returns true if the next round has been scheduled for later
+    [[nodiscard]] bool mustDeferRound();
     void store(const std::shared_ptr<RaftReady> &ready);
     void complete(RaftReady &ready);
-    //! After a write; a member whose disk has failed stops. \returns false then, and once it is stopped
-    bool goesOnAfter(bool isWritten);
+    //! Stops this member after a failed write. \returns true while it is running
+    bool handleWriteResult(bool isWritten);
     void send(std::vector<RaftMessage> messages);
     void applyCommitted(const std::vector<LogEntry> &entries);
-    void answerReads(const RaftReady &ready);
-    void compactIfLong();
-    //! Writes a snapshot's parts one after the other, so that what a leader sends and promises waits for one part only.
+    void completeReads(const RaftReady &ready);
+    void compactIfDue();
+    //! Writes the next part of a snapshot. Other writes may be queued between parts.
     void storeSnapshot();
-    //! This member leads, and a learner that answers lacks entries.
+    //! This member leads, and a responsive learner lacks committed entries.
     [[nodiscard]] bool hasLaggingLearner() const;
-    void failWaiting();
+    void failPending();
 
     Parts parts_;
     IReplicatedState &state_;
     boost::asio::steady_timer timer_;
-    boost::asio::steady_timer paceTimer_;
-    bool isPaceArmed_ = false;
-    TimePoint lastReady_ {};
+    boost::asio::steady_timer roundTimer_;
+    bool isRoundScheduled_ = false;
+    TimePoint lastRoundAt_ {};
     std::optional<RaftNode> node_;
     bool isBusy_ = false;
     bool isStopped_ = false;
@@ -138,11 +138,11 @@
     LogIndex applied_ = 0;
     std::size_t bytesSinceSnapshot_ = 0;
     std::size_t snapshotBytes_ = 0;
-    //! Parts of a snapshot that was made and is not stored yet; the last holds the snapshot itself.
+    //! Parts of a snapshot that are not stored yet; the last one holds the snapshot itself.
     std::deque<LogBatch> snapshotParts_;
-    unsigned cutTurn_ = 0;
+    unsigned compactionSlot_ = 0;
     std::unordered_map<VmName, TimePoint> lastHeard_;
-    std::unordered_map<VmName, TimePoint> lastReopened_;
+    std::unordered_map<VmName, TimePoint> lastReconnected_;
     Counter &committed_;
 };
 
--- a/src/gateway/cp_ledger_service.cpp
+++ b/src/gateway/cp_ledger_service.cpp
@@ -118,7 +118,7 @@
     driver_.stop();
 }
 
-void LedgerService::propose(LedgerCommand::Action action, ConsensusDriver::Committed done)
+void LedgerService::propose(LedgerCommand::Action action, ConsensusDriver::CommitCallback done)
 {
     refreshClock();
     const std::int64_t nowMs = clock_.nowMs(std::chrono::steady_clock::now());
--- a/src/gateway/cp_ledger_service.hpp
+++ b/src/gateway/cp_ledger_service.hpp
@@ -150,7 +150,7 @@
     //! Says in the logs whom this VM asks while it finds no leader.
     void logSearch(const VmName &asked, const std::vector<VmName> &peers);
     //! Proposes a change, with the ledger's time.
-    void propose(LedgerCommand::Action action, ConsensusDriver::Committed done);
+    void propose(LedgerCommand::Action action, ConsensusDriver::CommitCallback done);
     void refuse(const TurnBegin &begin, TurnBeginStatus status, bool isConfirmed, const Replier &replier);
     void confirmNoSuchTurn(const TurnBegin &begin, const Replier &replier);
     //! Takes a turn into its account's limit, and goes on with it then or later.
