--- a/include/cardamompost/policy/cp_call_scheduler.hpp
+++ b/include/cardamompost/policy/cp_call_scheduler.hpp
@@ -12,18 +12,17 @@
 namespace cardamompost
 {
 
-//! Bounds of one deployment's queue at one owner.
+//! Limits of one deployment's call queue.
 struct CallSchedulerOptions {
     std::size_t queueLimit = 1024;
-    //! After this many placements by rank, the call that has waited longest goes next. So a call of the lowest rank
-    //! that is the oldest is placed after that many placements at most, however much outranks it.
+    //! After this many placements by rank, the oldest waiting call is placed next, so that low ranks do not starve.
     int placementsPerOldest = 20;
-    //! Only a call that has waited this long is the oldest in that sense.
-    Milliseconds oldestAfter {5000};
+    //! Minimum wait before a call counts as the oldest.
+    Milliseconds oldestMinWait {5000};
     std::uint64_t seed = 0;
 };
 
-//! Where a call goes.
+//! The replica chosen for a call.
 struct PlacementDecision {
     std::uint64_t call = 0;
     std::string replica;
@@ -33,13 +32,13 @@
     bool isOldest = false;
 };
 
-//! A call that leaves the queue without a replica.
+//! A call removed from the queue without being placed.
 struct DroppedCall {
     std::uint64_t call = 0;
     Error error;
 };
 
-//! The waiting calls of one deployment at one owner, and the choice of who goes next and where.
+//! Priority queue of one deployment's calls, and their placement on replicas.
 //! Thread-safety: none; the owner's scheduler lock guards it.
 class CallScheduler
 {
@@ -47,29 +46,28 @@
     CallScheduler(CallSchedulerOptions options, std::unique_ptr<IQueuePolicy> queuePolicy,
                   std::unique_ptr<IPlacementPolicy> placementPolicy);
 
-    //! Queues a call. Errors: Overloaded when the queue is full of calls that rank no lower, or whose programs are
-    //! further on.
+    //! Queues a call. Errors: Overloaded when the queue is full and no queued call may be shed for this one.
     Result<void> add(WaitingCall call);
-    //! The error that add() would give; nothing when the call would be queued.
+    //! The error that add() would return; empty if the call would be queued.
     [[nodiscard]] std::optional<Error> refusalFor(const WaitingCall &call);
-    //! False when it is not waiting any more.
+    //! Returns false if the call is not queued.
     bool remove(std::uint64_t call);
-    //! The replicas of the deployment now; counts of own calls in flight are kept by name.
+    //! Replaces the replicas; in-flight counts of this process are kept by replica name.
     void setReplicas(std::vector<ReplicaView> replicas);
     void setQueueLimit(std::size_t limit)
     {
         options_.queueLimit = limit;
     }
-    //! A call that was placed has ended there.
+    //! Call when a placed call has finished on the replica.
     void onFinished(const std::string &replica);
     void setSpeed(EngineSpeed speed)
     {
         speed_ = speed;
     }
 
-    //! What can be placed now.
+    //! Places as many waiting calls as replicas have free slots for.
     [[nodiscard]] std::vector<PlacementDecision> place(TimePoint now);
-    //! Calls whose deadline has passed, and those that gave way to higher ranks since the last time.
+    //! Returns calls past their deadline, and calls shed since the last time.
     [[nodiscard]] std::vector<DroppedCall> takeDropped(TimePoint now);
 
     [[nodiscard]] std::size_t waiting() const
@@ -80,17 +78,17 @@
     {
         return replicas_;
     }
-    //! How long a call that arrives now might wait, for telling callers when to come back.
+    //! Estimated queueing time of a new call, used for retry hints.
     [[nodiscard]] Milliseconds expectedWait() const;
 
 private:
-    [[nodiscard]] std::vector<std::size_t> orderOf(TimePoint now) const;
+    [[nodiscard]] std::vector<std::size_t> schedulingOrder(TimePoint now) const;
     [[nodiscard]] bool placeOne(std::size_t position, TimePoint now, bool isOldest,
                                 std::vector<PlacementDecision> &decisions);
     bool placeOldest(TimePoint now, std::vector<PlacementDecision> &decisions);
-    [[nodiscard]] bool hasAnyRoom() const;
-    //! The waiting call that gives way to another one; the end when that one has to stand back.
-    [[nodiscard]] std::vector<WaitingCall>::iterator findToShed(const WaitingCall &call);
+    [[nodiscard]] bool hasAnyFreeSlot() const;
+    //! The waiting call to shed for another one; the end if that one ranks behind all waiting calls.
+    [[nodiscard]] std::vector<WaitingCall>::iterator findShedCandidate(const WaitingCall &call);
     [[nodiscard]] Error overloadError(const std::string &text) const;
 
     CallSchedulerOptions options_;
--- a/include/cardamompost/policy/cp_iplacement_policy.hpp
+++ b/include/cardamompost/policy/cp_iplacement_policy.hpp
@@ -12,7 +12,7 @@
 namespace cardamompost
 {
 
-//! What a placement is decided from.
+//! Input of a placement decision.
 struct PlacementInput {
     const WaitingCall &call;
     const std::vector<ReplicaView> &replicas;
@@ -21,20 +21,20 @@
     std::mt19937_64 &random;
 };
 
-//! Chooses a replica with room for a call.
+//! Chooses a replica with a free slot for a call.
 template<typename T>
 concept PlacementPolicy = requires(T &policy, const PlacementInput &input)
 {
     {
         T::policyName
         } -> std::convertible_to<std::string_view>;
-    //! Index of the replica; nothing when waiting is better.
+    //! Index of the replica; empty if the call should keep waiting.
     {
         policy.choose(input)
         } -> std::same_as<std::optional<std::size_t>>;
 };
 
-//! A placement policy chosen by name at run time.
+//! Placement policy that is selected by name at run time.
 class IPlacementPolicy
 {
 public:
@@ -43,7 +43,7 @@
     [[nodiscard]] virtual std::optional<std::size_t> choose(const PlacementInput &input) = 0;
 };
 
-//! Makes a policy that is written as a concept's model choosable.
+//! Adapts a model of PlacementPolicy to the run-time interface.
 template<PlacementPolicy Policy>
 class PlacementPolicyAdaptor : public IPlacementPolicy
 {
--- a/include/cardamompost/policy/cp_iqueue_policy.hpp
+++ b/include/cardamompost/policy/cp_iqueue_policy.hpp
@@ -16,7 +16,7 @@
     {
         T::policyName
         } -> std::convertible_to<std::string_view>;
-    //! Whether a class with a lower rank number always goes first.
+    //! Whether lower rank numbers always go first.
     {
         T::usesRanks
         } -> std::convertible_to<bool>;
@@ -26,7 +26,7 @@
         } -> std::same_as<double>;
 };
 
-//! A queue policy chosen by name at run time.
+//! Queue policy that is selected by name at run time.
 class IQueuePolicy
 {
 public:
@@ -36,7 +36,7 @@
     [[nodiscard]] virtual double score(const WaitingCall &call, TimePoint now) const = 0;
 };
 
-//! Makes a policy that is written as a concept's model choosable.
+//! Adapts a model of QueuePolicy to the run-time interface.
 template<QueuePolicy Policy>
 class QueuePolicyAdaptor : public IQueuePolicy
 {
--- a/include/cardamompost/policy/cp_policy_registry.hpp
+++ b/include/cardamompost/policy/cp_policy_registry.hpp
@@ -13,8 +13,8 @@
 namespace cardamompost
 {
 
-//! The policies that are linked into the program, by name. Filled before main() by the registration macros, and
-//! only read after that, so it needs no lock.
+//! Registry of the linked-in policies by name.
+//! Thread-safety: filled before main() by the registration macros and read-only afterwards.
 class PolicyRegistry
 {
 public:
--- a/include/cardamompost/policy/cp_policy_types.hpp
+++ b/include/cardamompost/policy/cp_policy_types.hpp
@@ -10,7 +10,7 @@
 namespace cardamompost
 {
 
-//! A call that waits for a replica, with what a policy may know of it.
+//! A call that waits for a replica, as policies see it.
 struct WaitingCall {
     std::uint64_t id = 0;
     std::string workClass;
@@ -18,41 +18,41 @@
     int rank = 0;
     TimePoint arrived {};
     TimePoint deadline {};
-    //! Tokens that engines have computed for the whole program, sub-agents included.
+    //! Tokens computed so far for the whole program, including its sub-agents.
     std::int64_t attainedTokens = 0;
     std::uint32_t turn = 0;
     std::int64_t promptTokens = 0;
     std::int64_t maxTokens = 0;
-    //! Replica that served the program last, and how much of the prompt it may still have cached.
+    //! Replica that served the program last, and the prompt tokens that may still be in its cache.
     std::string warmReplica;
     std::int64_t warmTokens = 0;
 };
 
-//! A replica as the deciding process sees it.
+//! A replica as the scheduling process sees it.
 struct ReplicaView {
     std::string name;
     std::string failureDomain;
     int slots = 1;
-    //! Calls of this process that are there now.
+    //! Calls in flight from this process.
     int ownInFlight = 0;
-    //! Calls of others, by the last report.
+    //! Calls in flight from other processes, as last reported.
     int othersInFlight = 0;
-    //! It takes no new work: leaving, ejected or refused by its report.
+    //! Accepts no new calls: draining, ejected, or closed by its own report.
     bool isClosed = false;
-    //! Share of its slots that may be used, below 1 while it comes back after a failure.
-    double openShare = 1.0;
+    //! Share of the slots that may be used, 0 to 1; below 1 during slow start after an ejection.
+    double usableSlotShare = 1.0;
 
     [[nodiscard]] int load() const
     {
         return ownInFlight + othersInFlight;
     }
-    [[nodiscard]] bool hasRoom() const
+    [[nodiscard]] bool hasFreeSlot() const
     {
-        return !isClosed && load() < std::max(1, static_cast<int>(slots * openShare));
+        return !isClosed && load() < std::max(1, static_cast<int>(slots * usableSlotShare));
     }
 };
 
-//! Speeds of a deployment's engines, as whoever runs the scheduler knows them.
+//! Estimated speeds of a deployment's engines.
 struct EngineSpeed {
     double prefillMsPerToken = 0.1;
     double decodeMsPerToken = 10.0;
--- a/include/cardamompost/policy/cp_replica_health.hpp
+++ b/include/cardamompost/policy/cp_replica_health.hpp
@@ -9,22 +9,21 @@
 namespace cardamompost
 {
 
-//! Takes replicas that fail out of use for a while, and lets them back in slowly.
+//! Outlier ejection: removes failing replicas for a growing time and brings them back by slow start.
 //!
-//! Source: outlier ejection with growing times and a bound on the share ejected, as in Envoy's documentation; slow
-//! start as in the same.
-//! Thread-safety: none; its user holds a lock.
+//! Source: outlier ejection and slow start as documented for Envoy.
+//! Thread-safety: none; the caller holds a lock.
 class ReplicaHealth
 {
 public:
     void onSuccess(const std::string &replica, TimePoint now);
     void onFailure(const std::string &replica, TimePoint now);
 
-    //! \param known  replicas of the same deployment; at most half of them are out at once, because when most fail
-    //!               the cause is more likely this side, and the rest could not carry the load
-    [[nodiscard]] bool isEjected(const std::string &replica, std::size_t known, TimePoint now) const;
-    //! Share of its slots that a replica may use: below 1 for a time after it came back.
-    [[nodiscard]] double openShare(const std::string &replica, TimePoint now) const;
+    //! \param replicaCount  replicas of the deployment; at most half of them are ejected at once, since widespread
+    //! failures point to a local cause
+    [[nodiscard]] bool isEjected(const std::string &replica, std::size_t replicaCount, TimePoint now) const;
+    //! Share of the replica's slots that may be used, 0 to 1; below 1 during slow start.
+    [[nodiscard]] double usableSlotShare(const std::string &replica, TimePoint now) const;
 
 private:
     struct State {
--- a/include/cardamompost/policy/cp_response_time_tracker.hpp
+++ b/include/cardamompost/policy/cp_response_time_tracker.hpp
@@ -6,19 +6,19 @@
 namespace cardamompost
 {
 
-//! How long backend servers usually take to begin an answer, learned from those that came, so that an answer that was
-//! lost is told from one that is slow.
+//! Estimates the time to the first byte of a response, to tell lost responses from slow ones.
 //!
-//! Source: the smoothed mean and deviation of RFC 6298, with a wider factor, since work spreads more than round trips.
+//! Source: smoothed mean and deviation of RFC 6298, with a larger deviation factor because service times vary more than
+//! round trips.
 //! Thread-safety: none.
 class ResponseTimeTracker
 {
 public:
-    //! Takes the time from the sending of a request to the head of its answer.
+    //! Adds the time from sending a request to receiving the response head.
     void observe(Milliseconds time);
 
-    //! How long to wait for an answer before the request goes to another server.
-    //! \param timeLeft  until the request's deadline; half of it is kept for the other server
+    //! How long to wait for a response before the request is sent to another server.
+    //! \param timeLeft  time to the request's deadline; half of it is reserved for the other server
     [[nodiscard]] Milliseconds responseTimeout(Milliseconds timeLeft) const;
 
 private:
--- a/include/cardamompost/policy/cp_turn_placement.hpp
+++ b/include/cardamompost/policy/cp_turn_placement.hpp
@@ -15,57 +15,56 @@
 namespace cardamompost
 {
 
-//! A turn that wants a place at an engine.
+//! A turn that waits for an engine slot.
 struct TurnToPlace {
-    //! Request's id; the same one asks for the same place again.
+    //! Request id; a repeated request with the same id gets the same slot.
     std::string turn;
     std::string program;
     std::string service;
-    //! Of the entry that will send it.
+    //! Failure domain of the entry that sends the turn.
     std::string failureDomain;
     //! 0 goes first.
     unsigned rank = 0;
-    //! Its program has run a turn before, or runs one now.
+    //! The program has completed a turn or runs one now.
     bool isInProgress = false;
-    //! Its program should be finished by now.
+    //! The program is past its target completion.
     bool isLate = false;
-    //! How long the turn may hold its place at most.
+    //! Maximum time that the turn may hold its slot.
     Milliseconds timeLeft {0};
 };
 
-//! Where turns go and in which order, decided in one place for all entries.
+//! Assigns turns to engine slots for all entries.
 //!
-//! A turn goes to the engine with the fewest turns, with a preference for the one that ran its program's last turn and
-//! for the entry's failure domain. While all places are taken, turns wait: those of programs under way go first, so
-//! that under overload a program waits once, at its begin, and not before each of its turns; those of programs that are
-//! late already go last. Members that do not lead follow where programs run, so that one that comes to lead sends them
-//! back there. Thread-safety: none. Time is an argument; no input or output.
+//! Uses least-loaded selection with cache affinity to the engine of the program's last turn and a preference for the
+//! entry's failure domain. While all slots are taken, turns wait in a priority queue: programs in progress first, then
+//! new ones, then late ones, each by rank. Under overload a program thus waits once, at its start. Followers track
+//! where programs ran, so that a new leader keeps the affinities.
+//! Thread-safety: none. Time is an argument; no input or output.
 class TurnPlacement
 {
 public:
-    //! Called once with the id of the engine; empty when no engine of the service is known, or for want of patience.
-    using Placed = std::function<void(const std::string &engine)>;
+    //! Called once with the engine's id; empty if no engine of the service is known or the turn was not placed in time.
+    using PlacementCallback = std::function<void(const std::string &engine)>;
 
     explicit TurnPlacement(std::uint64_t seed);
 
-    //! The engines that may take turns; those that are leaving take none.
+    //! Replaces the engines; draining engines receive no new turns.
     void setServers(const std::vector<BackendServer> &servers, TimePoint now);
-    //! Asks for a place; answered at once, or later by release(), setServers() or tick().
-    void request(TurnToPlace turn, TimePoint now, Placed placed);
-    //! Gives a place back, or a turn's wait up.
+    //! Requests a slot. The callback runs immediately, or later from release(), setServers(), tick() or clear().
+    void request(TurnToPlace turn, TimePoint now, PlacementCallback callback);
+    //! Releases the turn's slot or removes it from the queue.
     void release(const std::string &turn, TimePoint now);
-    //! A turn of a program ended at an engine, as a member that does not lead learns from the log. Should it come to
-    //! lead, it sends the program back there.
-    void noteRan(const std::string &program, const std::string &engine, TimePoint now);
-    //! No turn goes to an engine for a while, since an entry could not reach it.
+    //! Records on a follower the engine that ran a program's last turn, as replicated in the log.
+    void recordLastEngine(const std::string &program, const std::string &engine, TimePoint now);
+    //! Excludes an engine that an entry could not reach from selection until the given time.
     void avoid(const std::string &engine, TimePoint until);
-    //! Places whose time is over are given back, and turns that have waited for long enough are placed.
+    //! Releases expired slots and places turns that reached the maximum queue time.
     void tick(TimePoint now);
-    //! Forgets all turns and engines, and not where programs ran last; turns that wait are placed nowhere.
+    //! Drops all turns and engines but keeps affinities; callbacks of waiting turns receive an empty id.
     void clear();
 
     [[nodiscard]] std::size_t waiting() const;
-    //! Turns at an engine now.
+    //! Turns that hold a slot at the engine.
     [[nodiscard]] unsigned turnsAt(const std::string &engine) const;
 
 private:
@@ -74,63 +73,63 @@
         std::string failureDomain;
         unsigned slots = 1;
         unsigned turns = 0;
-        //! Programs whose last turn was here.
+        //! Programs with affinity to this engine.
         unsigned programs = 0;
         bool isOpen = false;
         TimePoint avoidUntil {};
-        //! As BackendServer::born.
+        //! As BackendServer::incarnation.
         std::uint64_t incarnation = 0;
     };
-    struct Held {
+    struct SlotReservation {
         std::string engine;
-        TimePoint until;
+        TimePoint expiresAt;
     };
     //! Lower goes first.
-    struct Order {
+    struct QueueKey {
         unsigned group = 0;
         unsigned rank = 0;
         std::uint64_t sequence = 0;
 
-        friend bool operator<(const Order &left, const Order &right)
+        friend bool operator<(const QueueKey &left, const QueueKey &right)
         {
             return std::tie(left.group, left.rank, left.sequence) < std::tie(right.group, right.rank, right.sequence);
         }
     };
-    struct Waiting {
+    struct WaitingTurn {
         TurnToPlace turn;
-        TimePoint since;
-        Placed placed;
+        TimePoint queuedAt;
+        PlacementCallback callback;
     };
-    struct Warm {
+    struct Affinity {
         std::string engine;
-        TimePoint at;
+        TimePoint lastUsed;
     };
-    using Queue = std::map<Order, Waiting>;
+    using Queue = std::map<QueueKey, WaitingTurn>;
 
     [[nodiscard]] std::optional<std::string> choose(const TurnToPlace &turn, TimePoint now, bool mayOverload);
     [[nodiscard]] static double cost(const Engine &engine, const TurnToPlace &turn);
-    //! Null when the program has none that is of use now.
-    [[nodiscard]] const std::string *warmEngine(const TurnToPlace &turn, TimePoint now) const;
-    void setWarm(const std::string &program, const std::string &engine, TimePoint now);
-    void leaveWarm(const Warm &warm);
+    //! Null if the program has no usable affinity.
+    [[nodiscard]] const std::string *affinityEngine(const TurnToPlace &turn, TimePoint now) const;
+    void setAffinity(const std::string &program, const std::string &engine, TimePoint now);
+    void removeAffinity(const Affinity &affinity);
     void countPrograms();
-    //! An engine has started again under its id.
-    void forgetIncarnation(const std::string &id);
+    //! Drops the turns and affinities of an engine that restarted under the same id.
+    void resetEngine(const std::string &id);
     [[nodiscard]] bool hasService(const std::string &service) const;
     [[nodiscard]] bool hasUsableEngine(const std::string &service, TimePoint now) const;
-    void hold(const TurnToPlace &turn, const std::string &engine, TimePoint now);
-    void serveQueues(TimePoint now);
-    void expireHeld(TimePoint now);
-    void forgetCold(TimePoint now);
+    void reserveSlot(const TurnToPlace &turn, const std::string &engine, TimePoint now);
+    void placeWaitingTurns(TimePoint now);
+    void expireReservations(TimePoint now);
+    void expireAffinities(TimePoint now);
 
     std::mt19937_64 random_;
     std::map<std::string, Engine> engines_;
-    std::unordered_map<std::string, Held> held_;
+    std::unordered_map<std::string, SlotReservation> reservations_;
     std::map<std::string, Queue> queues_;
-    std::unordered_map<std::string, std::pair<std::string, Order>> places_;
-    std::unordered_map<std::string, Warm> warm_;
+    std::unordered_map<std::string, std::pair<std::string, QueueKey>> queueKeys_;
+    std::unordered_map<std::string, Affinity> affinities_;
     std::uint64_t nextSequence_ = 0;
-    TimePoint nextForget_ {};
+    TimePoint nextAffinityExpiry_ {};
 };
 
 } // namespace cardamompost
--- a/include/cardamompost/policy/cp_turn_priority.hpp
+++ b/include/cardamompost/policy/cp_turn_priority.hpp
@@ -8,18 +8,18 @@
 namespace cardamompost
 {
 
-//! What decides in which order engines admit turns.
+//! Inputs of the order in which engines admit turns.
 struct TurnUrgency {
     //! The rank of the turn's route; 0 goes first.
     unsigned rank = 0;
-    //! Until its program should be finished; nothing when the caller does not say.
+    //! Time to the program's target completion; empty if the client did not state one.
     std::optional<Milliseconds> timeLeft;
 };
 
-//! Urgency of a turn for an engine, from 0, which goes first, to 9.
+//! Priority of a turn at an engine, from 0 (first) to 9.
 //!
-//! Only turns whose program is too late already go behind the others. Finer steps were measured and cost more than they
-//! gave: engines stop running turns for more urgent ones, and read their prompts again (docs/design/decisions.md).
+//! Only turns of programs past their target completion are ranked behind others: finer priorities make engines preempt
+//! running turns and recompute their prompts.
 [[nodiscard]] int turnPriority(const TurnUrgency &urgency);
 
 } // namespace cardamompost
--- a/src/cardamompost/policy/cp_call_scheduler.cpp
+++ b/src/cardamompost/policy/cp_call_scheduler.cpp
@@ -24,7 +24,7 @@
     , placementPolicy_(std::move(placementPolicy))
     , random_(options.seed)
 {
-    checkInvariant(queuePolicy_ && placementPolicy_, "a scheduler has both policies");
+    checkInvariant(queuePolicy_ && placementPolicy_, "a scheduler needs a queue policy and a placement policy");
 }
 
 Error CallScheduler::overloadError(const std::string &text) const
@@ -35,24 +35,23 @@
     return error;
 }
 
-std::vector<WaitingCall>::iterator CallScheduler::findToShed(const WaitingCall &call)
+std::vector<WaitingCall>::iterator CallScheduler::findShedCandidate(const WaitingCall &call)
 {
-    // The lowest rank is shed first, and in it the program that has been served least: the least work is lost with it.
-    // Among those, the call that came last has waited the least.
-    const auto givesWay = [](const WaitingCall &first, const WaitingCall &second) {
+    // Sheds the lowest rank first; within it the program with the least completed work, then the latest arrival.
+    const auto isShedAfter = [](const WaitingCall &first, const WaitingCall &second) {
         return std::tuple(first.rank, -first.attainedTokens, first.arrived)
             < std::tuple(second.rank, -second.attainedTokens, second.arrived);
     };
-    const auto worst = std::max_element(waiting_.begin(), waiting_.end(), givesWay);
-    return worst == waiting_.end() || !givesWay(call, *worst) ? waiting_.end() : worst;
+    const auto candidate = std::max_element(waiting_.begin(), waiting_.end(), isShedAfter);
+    return candidate == waiting_.end() || !isShedAfter(call, *candidate) ? waiting_.end() : candidate;
 }
 
 std::optional<Error> CallScheduler::refusalFor(const WaitingCall &call)
 {
-    if (waiting_.size() < options_.queueLimit || findToShed(call) != waiting_.end()) {
+    if (waiting_.size() < options_.queueLimit || findShedCandidate(call) != waiting_.end()) {
         return std::nullopt;
     }
-    return overloadError(fmt::format("{} calls wait already", waiting_.size()));
+    return overloadError(fmt::format("the queue is full: {} calls are waiting", waiting_.size()));
 }
 
 Result<void> CallScheduler::add(WaitingCall call)
@@ -61,10 +60,10 @@
         return *refusal;
     }
     if (waiting_.size() >= options_.queueLimit) {
-        const auto shed = findToShed(call);
+        const auto shed = findShedCandidate(call);
         dropped_.push_back(
             {shed->id,
-             overloadError("the call gave way to others of a higher rank or of programs that are further on")});
+             overloadError("the call was shed for one of a higher rank or of a program with more completed work")});
         waiting_.erase(shed);
     }
     waiting_.push_back(std::move(call));
@@ -90,19 +89,19 @@
 {
     const auto known = std::find_if(replicas_.begin(), replicas_.end(),
                                     [&](const ReplicaView &view) { return view.name == replica; });
-    // A replica that the configuration has dropped meanwhile is not there any more.
+    // The replica may have been removed from the configuration.
     if (known != replicas_.end() && known->ownInFlight > 0) {
         --known->ownInFlight;
     }
 }
 
-bool CallScheduler::hasAnyRoom() const
+bool CallScheduler::hasAnyFreeSlot() const
 {
     return std::any_of(replicas_.begin(), replicas_.end(),
-                       [](const ReplicaView &replica) { return replica.hasRoom(); });
+                       [](const ReplicaView &replica) { return replica.hasFreeSlot(); });
 }
 
-std::vector<std::size_t> CallScheduler::orderOf(TimePoint now) const
+std::vector<std::size_t> CallScheduler::schedulingOrder(TimePoint now) const
 {
     std::vector<std::size_t> order(waiting_.size());
     std::iota(order.begin(), order.end(), 0);
@@ -124,7 +123,7 @@
         return false;
     }
     ReplicaView &replica = replicas_[*choice];
-    checkInvariant(!replica.isClosed, "a replica that is leaving gets no new work");
+    checkInvariant(!replica.isClosed, "a closed replica must not receive new calls");
     ++replica.ownInFlight;
     const auto waited = std::chrono::duration_cast<Milliseconds>(now - call.arrived);
     decisions.push_back({call.id, replica.name, call.workClass, waited, replica.name == call.warmReplica, isOldest});
@@ -139,7 +138,7 @@
     }
     const auto oldest = std::min_element(waiting_.begin(), waiting_.end(),
                                          [](const auto &a, const auto &b) { return a.arrived < b.arrived; });
-    if (now - oldest->arrived < options_.oldestAfter
+    if (now - oldest->arrived < options_.oldestMinWait
         || !placeOne(static_cast<std::size_t>(oldest - waiting_.begin()), now, true, decisions)) {
         return false;
     }
@@ -151,13 +150,13 @@
 std::vector<PlacementDecision> CallScheduler::place(TimePoint now)
 {
     std::vector<PlacementDecision> decisions;
-    if (waiting_.empty() || !hasAnyRoom()) {
+    if (waiting_.empty() || !hasAnyFreeSlot()) {
         return decisions;
     }
     placeOldest(now, decisions);
     std::vector<bool> isPlaced(waiting_.size(), false);
-    for (const std::size_t position : orderOf(now)) {
-        if (!hasAnyRoom()) {
+    for (const std::size_t position : schedulingOrder(now)) {
+        if (!hasAnyFreeSlot()) {
             break;
         }
         isPlaced[position] = placeOne(position, now, false, decisions);
@@ -174,7 +173,8 @@
         if (now < call.deadline) {
             return false;
         }
-        Error error = makeError(ErrorKind::DeadlineExceeded, "no replica was free before the call's deadline");
+        Error error
+            = makeError(ErrorKind::DeadlineExceeded, "deadline exceeded while the call waited for a free replica");
         error.outcome = Outcome::NotRun;
         error.retryAfter = std::clamp(expectedWait(), minRetryAfter, maxRetryAfter);
         dropped.push_back({call.id, std::move(error)});
--- a/src/cardamompost/policy/cp_replica_health.cpp
+++ b/src/cardamompost/policy/cp_replica_health.cpp
@@ -12,7 +12,7 @@
 constexpr int maxEjectionDoublings = 5;
 constexpr Milliseconds firstEjection {1000};
 constexpr Milliseconds slowStart {10'000};
-constexpr double firstShare = 0.25;
+constexpr double initialSlotShare = 0.25;
 
 } // namespace
 
@@ -38,30 +38,31 @@
     state.wasEjected = true;
 }
 
-bool ReplicaHealth::isEjected(const std::string &replica, std::size_t known, TimePoint now) const
+bool ReplicaHealth::isEjected(const std::string &replica, std::size_t replicaCount, TimePoint now) const
 {
     const auto found = states_.find(replica);
     if (found == states_.end() || now >= found->second.ejectedUntil) {
         return false;
     }
-    // The replicas that were ejected first stay out; the one that would be too many stays in use.
-    const auto isBefore = [&](const auto &item) {
+    // Earlier ejections take precedence when more than the allowed share would be ejected.
+    const auto wasEjectedEarlier = [&](const auto &item) {
         return now < item.second.ejectedUntil
             && std::pair(item.second.ejectedUntil, item.first) < std::pair(found->second.ejectedUntil, replica);
     };
-    const auto before = static_cast<std::size_t>(std::count_if(states_.begin(), states_.end(), isBefore));
-    return before < known / 2;
+    const auto ejectedEarlier
+        = static_cast<std::size_t>(std::count_if(states_.begin(), states_.end(), wasEjectedEarlier));
+    return ejectedEarlier < replicaCount / 2;
 }
 
-double ReplicaHealth::openShare(const std::string &replica, TimePoint now) const
+double ReplicaHealth::usableSlotShare(const std::string &replica, TimePoint now) const
 {
     const auto found = states_.find(replica);
     if (found == states_.end() || !found->second.wasEjected || now < found->second.ejectedUntil) {
         return 1.0;
     }
-    const double passed
+    const double rampUpProgress
         = std::chrono::duration<double>(now - found->second.ejectedUntil) / std::chrono::duration<double>(slowStart);
-    return std::min(1.0, firstShare + (1.0 - firstShare) * passed);
+    return std::min(1.0, initialSlotShare + (1.0 - initialSlotShare) * rampUpProgress);
 }
 
 } // namespace cardamompost
--- a/src/cardamompost/policy/cp_response_time_tracker.cpp
+++ b/src/cardamompost/policy/cp_response_time_tracker.cpp
@@ -9,14 +9,13 @@
 namespace
 {
 
-// RFC 6298's gains.
+// Gains of RFC 6298.
 constexpr double meanGain = 0.125;
 constexpr double deviationGain = 0.25;
-// Work times that are spread like an exponential distribution exceed this once in some 8,000 requests.
-constexpr double deviations = 10;
-// Before so many answers, what is known says little.
-constexpr unsigned enoughSamples = 8;
-// Guards against giving up on servers that merely stand still for a moment, as with a quota of processor time.
+// Keeps false timeouts rare for exponentially distributed service times.
+constexpr double deviationFactor = 10;
+constexpr unsigned minSamples = 8;
+// Tolerates short stalls of a server, such as CPU throttling.
 constexpr Milliseconds minResponseTimeout {200};
 
 } // namespace
@@ -31,17 +30,17 @@
         deviation_ += deviationGain * (std::abs(ms - mean_) - deviation_);
         mean_ += meanGain * (ms - mean_);
     }
-    samples_ = std::min(samples_ + 1, enoughSamples);
+    samples_ = std::min(samples_ + 1, minSamples);
 }
 
 Milliseconds ResponseTimeTracker::responseTimeout(Milliseconds timeLeft) const
 {
     const Milliseconds half = timeLeft / 2;
-    if (samples_ < enoughSamples) {
+    if (samples_ < minSamples) {
         return half;
     }
-    const auto usual = Milliseconds(static_cast<std::int64_t>(mean_ + deviations * deviation_));
-    return std::min(std::max(usual, minResponseTimeout), half);
+    const auto estimate = Milliseconds(static_cast<std::int64_t>(mean_ + deviationFactor * deviation_));
+    return std::min(std::max(estimate, minResponseTimeout), half);
 }
 
 } // namespace cardamompost
--- a/src/cardamompost/policy/cp_turn_placement.cpp
+++ b/src/cardamompost/policy/cp_turn_placement.cpp
@@ -11,22 +11,22 @@
 namespace
 {
 
-// A program leaves its warm engine for one with so many turns less, in shares of the slots. Its whole prompt is read
-// anew there, which takes the engine longer than all its steps do for the turn.
-constexpr double shareToLeave = 2.5;
-// What a program that ran here lately weighs besides its turn, since its next one comes here.
-constexpr double programWeight = 0.25;
-// New programs wait while all engines have turns for this share of their places.
-constexpr double newShare = 1.1;
-// What the way to another failure domain costs, in the same measure.
-constexpr double otherDomainCost = 0.75;
-// A program's last engine is forgotten after this; it has been evicted there, or the program is over.
-constexpr Milliseconds warmFor {8000};
-constexpr Milliseconds forgetInterval {500};
-// A turn that has waited for so long goes to an engine's own queue; callers give up soon after.
-constexpr Milliseconds longestWait {1200};
-// Guards against places of entries that died: nobody gives them back.
-constexpr Milliseconds holdMargin {500};
+// A program leaves the engine with its cached prompt for one that has loadThreshold turns by this multiple of the
+// slots. Moving means computing the whole prompt again.
+constexpr double maxAffinityImbalance = 2.5;
+// Load that a program with affinity adds to an engine, in turns.
+constexpr double affinityWeight = 0.25;
+// New programs wait while all engines hold at least this multiple of their slots.
+constexpr double newProgramLoadLimit = 1.1;
+// Cost of an engine in another failure domain, in turns.
+constexpr double crossDomainCost = 0.75;
+// Expected lifetime of a program's prompt in the engine's cache.
+constexpr Milliseconds affinityLifetime {8000};
+constexpr Milliseconds expiryInterval {500};
+// Afterwards a turn is sent to an engine's own queue, before its client gives up.
+constexpr Milliseconds maxQueueTime {1200};
+// Added to a turn's time limit before the slot of a failed entry is reclaimed.
+constexpr Milliseconds reservationMargin {500};
 
 constexpr unsigned groupInProgress = 0;
 constexpr unsigned groupNew = 1;
@@ -47,7 +47,7 @@
     for (const BackendServer &server : servers) {
         Engine &engine = engines_[server.id];
         if (server.incarnation > engine.incarnation && engine.incarnation != 0) {
-            forgetIncarnation(server.id);
+            resetEngine(server.id);
         }
         engine.incarnation = server.incarnation;
         engine.service = server.service;
@@ -57,7 +57,7 @@
     }
     std::erase_if(engines_, [](const auto &item) { return !item.second.isOpen && item.second.turns == 0; });
     countPrograms();
-    serveQueues(now);
+    placeWaitingTurns(now);
 }
 
 void TurnPlacement::countPrograms()
@@ -65,19 +65,18 @@
     for (auto &[id, engine] : engines_) {
         engine.programs = 0;
     }
-    for (const auto &[program, warm] : warm_) {
-        if (const auto engine = engines_.find(warm.engine); engine != engines_.end()) {
+    for (const auto &[program, affinity] : affinities_) {
+        if (const auto engine = engines_.find(affinity.engine); engine != engines_.end()) {
             ++engine->second.programs;
         }
     }
 }
 
-void TurnPlacement::forgetIncarnation(const std::string &id)
+void TurnPlacement::resetEngine(const std::string &id)
 {
-    // Guards against counting turns that ended with the engine, and against sending programs back for a history that it
-    // no longer holds.
-    std::erase_if(held_, [&](const auto &item) { return item.second.engine == id; });
-    std::erase_if(warm_, [&](const auto &item) { return item.second.engine == id; });
+    // The restarted engine holds neither the turns nor the cached prompts of its previous incarnation.
+    std::erase_if(reservations_, [&](const auto &item) { return item.second.engine == id; });
+    std::erase_if(affinities_, [&](const auto &item) { return item.second.engine == id; });
     engines_[id] = {};
 }
 
@@ -96,25 +95,25 @@
 
 double TurnPlacement::cost(const Engine &engine, const TurnToPlace &turn)
 {
-    const bool isNear = engine.failureDomain == turn.failureDomain;
-    return engine.turns + engine.programs * programWeight + (isNear ? 0 : otherDomainCost);
+    const bool isSameDomain = engine.failureDomain == turn.failureDomain;
+    return engine.turns + engine.programs * affinityWeight + (isSameDomain ? 0 : crossDomainCost);
 }
 
-const std::string *TurnPlacement::warmEngine(const TurnToPlace &turn, TimePoint now) const
+const std::string *TurnPlacement::affinityEngine(const TurnToPlace &turn, TimePoint now) const
 {
-    const auto warm = warm_.find(turn.program);
-    if (warm == warm_.end()) {
+    const auto affinity = affinities_.find(turn.program);
+    if (affinity == affinities_.end()) {
         return nullptr;
     }
-    const auto engine = engines_.find(warm->second.engine);
+    const auto engine = engines_.find(affinity->second.engine);
     const bool isUsable = engine != engines_.end() && engine->second.isOpen && engine->second.service == turn.service
         && now >= engine->second.avoidUntil;
     if (!isUsable) {
         return nullptr;
     }
-    const double fewer = engine->second.turns - shareToLeave * engine->second.slots;
+    const double loadThreshold = engine->second.turns - maxAffinityImbalance * engine->second.slots;
     for (const auto &[id, other] : engines_) {
-        if (other.isOpen && other.service == turn.service && other.turns <= fewer) {
+        if (other.isOpen && other.service == turn.service && other.turns <= loadThreshold) {
             return nullptr;
         }
     }
@@ -123,25 +122,25 @@
 
 std::optional<std::string> TurnPlacement::choose(const TurnToPlace &turn, TimePoint now, bool mayOverload)
 {
-    if (const std::string *warm = warmEngine(turn, now)) {
-        return *warm;
+    if (const std::string *affinity = affinityEngine(turn, now)) {
+        return *affinity;
     }
-    double least = std::numeric_limits<double>::max();
+    double lowestCost = std::numeric_limits<double>::max();
     std::vector<const std::string *> best;
-    // With all engines in doubt, one of them is still better than none.
-    const bool takesAvoided = !hasUsableEngine(turn.service, now);
+    // If every engine is being avoided, any of them may be used.
+    const bool includesAvoided = !hasUsableEngine(turn.service, now);
     for (const auto &[id, engine] : engines_) {
         const bool isUsable = engine.isOpen && engine.service == turn.service
-            && (takesAvoided || now >= engine.avoidUntil)
-            && (mayOverload || turn.isInProgress || engine.turns < engine.slots * newShare);
-        const double own = isUsable ? cost(engine, turn) : least;
-        if (!isUsable || own > least) {
+            && (includesAvoided || now >= engine.avoidUntil)
+            && (mayOverload || turn.isInProgress || engine.turns < engine.slots * newProgramLoadLimit);
+        const double engineCost = isUsable ? cost(engine, turn) : lowestCost;
+        if (!isUsable || engineCost > lowestCost) {
             continue;
         }
-        if (own < least) {
+        if (engineCost < lowestCost) {
             best.clear();
         }
-        least = own;
+        lowestCost = engineCost;
         best.push_back(&id);
     }
     if (best.empty()) {
@@ -150,77 +149,77 @@
     return *best[random_() % best.size()];
 }
 
-void TurnPlacement::hold(const TurnToPlace &turn, const std::string &engine, TimePoint now)
+void TurnPlacement::reserveSlot(const TurnToPlace &turn, const std::string &engine, TimePoint now)
 {
     ++engines_[engine].turns;
-    held_[turn.turn] = {engine, now + turn.timeLeft + holdMargin};
-    setWarm(turn.program, engine, now);
+    reservations_[turn.turn] = {engine, now + turn.timeLeft + reservationMargin};
+    setAffinity(turn.program, engine, now);
 }
 
-void TurnPlacement::noteRan(const std::string &program, const std::string &engine, TimePoint now)
+void TurnPlacement::recordLastEngine(const std::string &program, const std::string &engine, TimePoint now)
 {
     if (!program.empty() && !engine.empty()) {
-        setWarm(program, engine, now);
+        setAffinity(program, engine, now);
     }
 }
 
-void TurnPlacement::setWarm(const std::string &program, const std::string &engine, TimePoint now)
+void TurnPlacement::setAffinity(const std::string &program, const std::string &engine, TimePoint now)
 {
-    Warm &warm = warm_[program];
-    if (warm.engine != engine) {
-        leaveWarm(warm);
+    Affinity &affinity = affinities_[program];
+    if (affinity.engine != engine) {
+        removeAffinity(affinity);
         if (const auto found = engines_.find(engine); found != engines_.end()) {
             ++found->second.programs;
         }
     }
-    warm = {engine, now};
+    affinity = {engine, now};
 }
 
-void TurnPlacement::leaveWarm(const Warm &warm)
+void TurnPlacement::removeAffinity(const Affinity &affinity)
 {
-    if (const auto engine = engines_.find(warm.engine); engine != engines_.end()) {
+    if (const auto engine = engines_.find(affinity.engine); engine != engines_.end()) {
         engine->second.programs -= engine->second.programs > 0 ? 1 : 0;
     }
 }
 
-void TurnPlacement::request(TurnToPlace turn, TimePoint now, Placed placed)
+void TurnPlacement::request(TurnToPlace turn, TimePoint now, PlacementCallback callback)
 {
-    if (const auto held = held_.find(turn.turn); held != held_.end()) {
-        const std::string engine = held->second.engine;
-        placed(engine);
+    if (const auto reservation = reservations_.find(turn.turn); reservation != reservations_.end()) {
+        const std::string engine = reservation->second.engine;
+        callback(engine);
         return;
     }
-    if (const auto place = places_.find(turn.turn); place != places_.end()) {
-        // Asked again, as after a lost answer: its place in the queue stays.
-        queues_[place->second.first].at(place->second.second).placed = std::move(placed);
+    if (const auto queued = queueKeys_.find(turn.turn); queued != queueKeys_.end()) {
+        // A retried request keeps its position in the queue.
+        queues_[queued->second.first].at(queued->second.second).callback = std::move(callback);
         return;
     }
     if (!hasService(turn.service)) {
-        // A leader that has just taken over has read no list yet. It still knows where programs ran; the entry has the
-        // engine's address, and chooses by itself where that is gone.
-        const auto warm = warm_.find(turn.program);
-        const std::string engine = warm == warm_.end() ? std::string() : warm->second.engine;
+        // A new leader may not have the engine list yet, but knows the affinities from the log. The entry falls back to
+        // its own choice if that engine is gone.
+        const auto affinity = affinities_.find(turn.program);
+        const std::string engine = affinity == affinities_.end() ? std::string() : affinity->second.engine;
         if (!engine.empty()) {
-            hold(turn, engine, now);
+            reserveSlot(turn, engine, now);
         }
-        placed(engine);
+        callback(engine);
         return;
     }
-    // Whoever comes while others wait goes behind those that come before it, even if a place is free this moment.
+    // Every turn is queued first, so that it cannot overtake waiting turns that rank before it.
     const unsigned group = turn.isLate ? groupLate : turn.isInProgress ? groupInProgress : groupNew;
-    const Order order {group, turn.rank, nextSequence_++};
-    places_.emplace(turn.turn, std::pair(turn.service, order));
+    const QueueKey key {group, turn.rank, nextSequence_++};
+    queueKeys_.emplace(turn.turn, std::pair(turn.service, key));
     Queue &queue = queues_[turn.service];
-    queue.emplace(order, Waiting {std::move(turn), now, std::move(placed)});
-    serveQueues(now);
+    queue.emplace(key, WaitingTurn {std::move(turn), now, std::move(callback)});
+    placeWaitingTurns(now);
 }
 
-void TurnPlacement::serveQueues(TimePoint now)
+void TurnPlacement::placeWaitingTurns(TimePoint now)
 {
-    // Callbacks may ask for places or give them back, so nothing is kept across one.
-    bool hasPlaced = true;
-    while (hasPlaced) {
-        hasPlaced = false;
+    // Callbacks may request or release slots, so no iterator is kept across a call.
+    bool madeProgress = true;
+    while (madeProgress) {
+        madeProgress = false;
         for (auto &[service, queue] : queues_) {
             if (queue.empty()) {
                 continue;
@@ -230,12 +229,12 @@
             if (!engine) {
                 continue;
             }
-            const Waiting next = std::move(first->second);
+            const WaitingTurn next = std::move(first->second);
             queue.erase(first);
-            places_.erase(next.turn.turn);
-            hold(next.turn, *engine, now);
-            next.placed(*engine);
-            hasPlaced = true;
+            queueKeys_.erase(next.turn.turn);
+            reserveSlot(next.turn, *engine, now);
+            next.callback(*engine);
+            madeProgress = true;
             break;
         }
     }
@@ -243,20 +242,20 @@
 
 void TurnPlacement::release(const std::string &turn, TimePoint now)
 {
-    if (const auto place = places_.find(turn); place != places_.end()) {
-        queues_[place->second.first].erase(place->second.second);
-        places_.erase(place);
+    if (const auto queued = queueKeys_.find(turn); queued != queueKeys_.end()) {
+        queues_[queued->second.first].erase(queued->second.second);
+        queueKeys_.erase(queued);
         return;
     }
-    const auto held = held_.find(turn);
-    if (held == held_.end()) {
+    const auto reservation = reservations_.find(turn);
+    if (reservation == reservations_.end()) {
         return;
     }
-    if (const auto engine = engines_.find(held->second.engine); engine != engines_.end()) {
+    if (const auto engine = engines_.find(reservation->second.engine); engine != engines_.end()) {
         engine->second.turns -= engine->second.turns > 0 ? 1 : 0;
     }
-    held_.erase(held);
-    serveQueues(now);
+    reservations_.erase(reservation);
+    placeWaitingTurns(now);
 }
 
 void TurnPlacement::avoid(const std::string &engine, TimePoint until)
@@ -266,78 +265,77 @@
     }
 }
 
-void TurnPlacement::expireHeld(TimePoint now)
+void TurnPlacement::expireReservations(TimePoint now)
 {
-    std::vector<std::string> over;
-    for (const auto &[turn, held] : held_) {
-        if (now >= held.until) {
-            over.push_back(turn);
+    std::vector<std::string> expired;
+    for (const auto &[turn, reservation] : reservations_) {
+        if (now >= reservation.expiresAt) {
+            expired.push_back(turn);
         }
     }
-    for (const std::string &turn : over) {
+    for (const std::string &turn : expired) {
         release(turn, now);
     }
 }
 
-void TurnPlacement::forgetCold(TimePoint now)
+void TurnPlacement::expireAffinities(TimePoint now)
 {
-    if (now < nextForget_) {
+    if (now < nextAffinityExpiry_) {
         return;
     }
-    nextForget_ = now + forgetInterval;
-    for (auto item = warm_.begin(); item != warm_.end();) {
-        if (now - item->second.at <= warmFor) {
+    nextAffinityExpiry_ = now + expiryInterval;
+    for (auto item = affinities_.begin(); item != affinities_.end();) {
+        if (now - item->second.lastUsed <= affinityLifetime) {
             ++item;
             continue;
         }
-        leaveWarm(item->second);
-        item = warm_.erase(item);
+        removeAffinity(item->second);
+        item = affinities_.erase(item);
     }
 }
 
 void TurnPlacement::tick(TimePoint now)
 {
-    expireHeld(now);
-    forgetCold(now);
-    std::vector<Waiting> over;
+    expireReservations(now);
+    expireAffinities(now);
+    std::vector<WaitingTurn> expired;
     for (auto &[service, queue] : queues_) {
         for (auto item = queue.begin(); item != queue.end();) {
-            if (now - item->second.since < longestWait) {
+            if (now - item->second.queuedAt < maxQueueTime) {
                 ++item;
                 continue;
             }
-            places_.erase(item->second.turn.turn);
-            over.push_back(std::move(item->second));
+            queueKeys_.erase(item->second.turn.turn);
+            expired.push_back(std::move(item->second));
             item = queue.erase(item);
         }
     }
-    for (const Waiting &waiting : over) {
+    for (const WaitingTurn &waiting : expired) {
         const std::optional<std::string> engine = choose(waiting.turn, now, true);
         if (engine) {
-            hold(waiting.turn, *engine, now);
+            reserveSlot(waiting.turn, *engine, now);
         }
-        waiting.placed(engine.value_or(std::string()));
+        waiting.callback(engine.value_or(std::string()));
     }
-    serveQueues(now);
+    placeWaitingTurns(now);
 }
 
 void TurnPlacement::clear()
 {
-    // Guards programs under way against a change of leader: were it forgotten where they ran, all of them would read
-    // their histories anew elsewhere at once, just when turns have piled up behind the leader that was lost.
-    held_.clear();
-    places_.clear();
+    // Affinities survive a change of leader; losing them would make all programs recompute their prompts at once.
+    reservations_.clear();
+    queueKeys_.clear();
     engines_.clear();
     for (auto &[service, queue] : std::exchange(queues_, {})) {
-        for (auto &[order, waiting] : queue) {
-            waiting.placed({});
+        for (auto &[key, waiting] : queue) {
+            waiting.callback({});
         }
     }
 }
 
 std::size_t TurnPlacement::waiting() const
 {
-    return places_.size();
+    return queueKeys_.size();
 }
 
 unsigned TurnPlacement::turnsAt(const std::string &engine) const
--- a/src/cardamompost/policy/cp_turn_priority.cpp
+++ b/src/cardamompost/policy/cp_turn_priority.cpp
@@ -6,9 +6,9 @@
 namespace
 {
 
-constexpr int inTime = 5;
-constexpr int lateFirstRank = 8;
-constexpr int late = 9;
+constexpr int onTimePriority = 5;
+constexpr int lateTopRankPriority = 8;
+constexpr int latePriority = 9;
 
 } // namespace
 
@@ -16,9 +16,9 @@
 {
     const bool isLate = urgency.timeLeft && urgency.timeLeft->count() <= 0;
     if (!isLate) {
-        return inTime;
+        return onTimePriority;
     }
-    return urgency.rank == 0 ? lateFirstRank : late;
+    return urgency.rank == 0 ? lateTopRankPriority : latePriority;
 }
 
 } // namespace cardamompost
--- a/src/daemon/cp_dispatcher.cpp
+++ b/src/daemon/cp_dispatcher.cpp
@@ -141,7 +141,7 @@
             view.isClosed = report->second.isLeaving;
         }
         view.isClosed = view.isClosed || health_.isEjected(replica.name, deployment.replicas.size(), now);
-        view.openShare = health_.openShare(replica.name, now);
+        view.usableSlotShare = health_.usableSlotShare(replica.name, now);
         views.push_back(std::move(view));
         queue.replicas.emplace(replica.name, replica);
     }
--- a/src/gateway/cp_ledger_service.cpp
+++ b/src/gateway/cp_ledger_service.cpp
@@ -143,7 +143,7 @@
     const auto *finish = std::get_if<TurnFinish>(&command.value().action);
     if (finish != nullptr && !leads()) {
         // A leader knows by itself where it sent turns, also those that have not ended yet.
-        placement_.noteRan(finish->program, finish->backend, std::chrono::steady_clock::now());
+        placement_.recordLastEngine(finish->program, finish->backend, std::chrono::steady_clock::now());
     }
     const std::uint64_t before = state_.documentVersion();
     lastApplied_ = state_.apply(command.value(), entry.index);
--- a/src/plugins/cp_queue_policies.cpp
+++ b/src/plugins/cp_queue_policies.cpp
@@ -11,7 +11,7 @@
     return std::chrono::duration<double>(now - since).count();
 }
 
-//! Baseline: in the order of arrival, whatever the class.
+//! Baseline: arrival order, regardless of rank.
 struct FirstComeFirstServed {
     static constexpr std::string_view policyName = "first-come-first-served";
     static constexpr bool usesRanks = false;
@@ -22,11 +22,11 @@
     }
 };
 
-//! Within a rank, programs that have been served least go first, and waiting makes up for service.
+//! Within a rank, programs with the least attained service go first; waiting time offsets service.
 //!
-//! Nobody knows how many calls a program will still make. Least attained service serves the many short programs
-//! without making them wait for the few long ones; ageing bounds how long a long one can wait.
-//! Source: least-attained-service scheduling (Nuyens and Wierman, 2008), applied to the whole program.
+//! Needs no estimate of a program's remaining calls: short programs do not wait for long ones, and ageing bounds the
+//! wait of long ones.
+//! Source: least-attained-service scheduling (Nuyens and Wierman, 2008), applied to whole programs.
 struct LeastAttainedService {
     static constexpr std::string_view policyName = "least-attained-service";
     static constexpr bool usesRanks = true;
@@ -38,7 +38,7 @@
     }
 };
 
-//! Within a rank, in the order of arrival.
+//! Within a rank, arrival order.
 struct RankedArrival {
     static constexpr std::string_view policyName = "ranked-arrival";
     static constexpr bool usesRanks = true;
--- a/tests/policy/cp_call_scheduler.tests.cpp
+++ b/tests/policy/cp_call_scheduler.tests.cpp
@@ -52,7 +52,7 @@
     BOOST_TEST(PolicyRegistry::instance().makeQueuePolicy("no-such") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(a_higher_rank_goes_first_whenever_it_came)
+BOOST_AUTO_TEST_CASE(a_higher_rank_is_placed_before_earlier_calls)
 {
     CallScheduler scheduler = makeScheduler("least-attained-service", "least-load");
     scheduler.setReplicas({replica("r", 1)});
@@ -62,7 +62,7 @@
                boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(within_a_rank_the_program_that_was_served_least_goes_first)
+BOOST_AUTO_TEST_CASE(within_a_rank_the_least_served_program_is_placed_first)
 {
     CallScheduler scheduler = makeScheduler("least-attained-service", "least-load");
     scheduler.setReplicas({replica("r", 1)});
@@ -74,8 +74,7 @@
                boost::test_tools::per_element());
 }
 
-// Sessions keep arriving without a pause. An archive pull may wait, but must not wait for ever: it is the oldest call,
-// and goes after twenty placements of others at most.
+// Guards against starvation of the lowest rank under a steady stream of higher-ranked calls.
 BOOST_AUTO_TEST_CASE(the_lowest_rank_does_not_starve)
 {
     CallScheduler scheduler = makeScheduler("least-attained-service", "least-load");
@@ -97,8 +96,7 @@
     BOOST_TEST(placedBefore <= 21);
 }
 
-// The queue is full of archive pulls when a plan session comes. The caller on the line must not hear "overloaded" while
-// work that may wait is kept.
+// Guards against rejecting a high-ranked call while low-ranked calls stay queued.
 BOOST_AUTO_TEST_CASE(the_lowest_rank_is_shed_first)
 {
     CallSchedulerOptions options;
@@ -118,9 +116,8 @@
     BOOST_TEST((refused.error().kind == ErrorKind::Overloaded));
 }
 
-// More work comes than the engines can do. If calls were shed by their arrival alone, programs would be cut in the
-// middle after most of their work was done, and callers would get nothing for it. Found by the experiment at 120 %.
-BOOST_AUTO_TEST_CASE(a_program_that_is_further_on_is_kept_before_one_that_begins)
+// Guards against shedding programs that have most of their work done.
+BOOST_AUTO_TEST_CASE(load_shedding_keeps_the_program_with_more_completed_work)
 {
     CallSchedulerOptions options;
     options.queueLimit = 2;
@@ -137,7 +134,7 @@
     BOOST_TEST(scheduler.add(call(4, 1, Milliseconds(3))).has_error());
 }
 
-BOOST_AUTO_TEST_CASE(a_call_past_its_deadline_gets_its_answer_at_once)
+BOOST_AUTO_TEST_CASE(a_call_is_dropped_when_its_deadline_passes)
 {
     CallScheduler scheduler = makeScheduler("least-attained-service", "least-load");
     WaitingCall late = call(1, 0);
@@ -150,7 +147,7 @@
     BOOST_TEST((dropped[0].error.effectiveOutcome() == Outcome::NotRun));
 }
 
-BOOST_AUTO_TEST_CASE(a_warm_replica_is_waited_for_as_long_as_it_saves_and_no_longer)
+BOOST_AUTO_TEST_CASE(a_call_waits_for_its_cached_prompt_no_longer_than_the_prefill_it_saves)
 {
     CallScheduler scheduler = makeScheduler("least-attained-service", "warm-detour");
     scheduler.setSpeed({0.1, 10.0});
@@ -183,7 +180,7 @@
     BOOST_TEST(scheduler.place(start).front().replica == "cold");
 }
 
-BOOST_AUTO_TEST_CASE(no_replica_gets_more_than_it_has_slots)
+BOOST_AUTO_TEST_CASE(a_replica_never_exceeds_its_slots)
 {
     CallScheduler scheduler = makeScheduler("first-come-first-served", "random");
     scheduler.setReplicas({replica("a", 2), replica("b", 1)});
@@ -196,8 +193,7 @@
     BOOST_TEST(scheduler.place(start).size() == 1U);
 }
 
-// Every replica fails at once, most likely because this VM is cut off. If all were ejected, calls would have nowhere to
-// go even when the network is back.
+// Guards against ejecting all replicas when the local network is the cause of the failures.
 BOOST_AUTO_TEST_CASE(at_most_half_of_the_replicas_are_ejected)
 {
     ReplicaHealth health;
@@ -212,7 +208,7 @@
     BOOST_TEST(std::count_if(names.begin(), names.end(), isOut) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_returns_is_used_slowly_at_first)
+BOOST_AUTO_TEST_CASE(a_replica_ramps_up_after_an_ejection)
 {
     ReplicaHealth health;
     for (int i = 0; i < 3; ++i) {
@@ -220,9 +216,9 @@
     }
     BOOST_TEST(health.isEjected("a", 4, start + Milliseconds(500)));
     BOOST_TEST(!health.isEjected("a", 4, start + Milliseconds(1000)));
-    BOOST_TEST(health.openShare("a", start + Milliseconds(1000)) < 0.3);
-    BOOST_TEST(health.openShare("a", start + Milliseconds(20'000)) == 1.0);
-    BOOST_TEST(health.openShare("b", start) == 1.0);
+    BOOST_TEST(health.usableSlotShare("a", start + Milliseconds(1000)) < 0.3);
+    BOOST_TEST(health.usableSlotShare("a", start + Milliseconds(20'000)) == 1.0);
+    BOOST_TEST(health.usableSlotShare("b", start) == 1.0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/policy/cp_response_time_tracker.tests.cpp
+++ b/tests/policy/cp_response_time_tracker.tests.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(answer_time)
 
-BOOST_AUTO_TEST_CASE(half_of_the_time_is_waited_while_nothing_is_known)
+BOOST_AUTO_TEST_CASE(the_timeout_is_half_of_the_time_left_without_enough_samples)
 {
     ResponseTimeTracker time;
     BOOST_TEST(time.responseTimeout(Milliseconds(1000)).count() == 500);
@@ -16,9 +16,8 @@
     BOOST_TEST(time.responseTimeout(Milliseconds(1000)).count() == 500);
 }
 
-// A server runs a read and its answer is lost. The caller hears nothing for its whole patience of 1.5 s and its program
-// fails, though reads take 50 ms and any other server would have answered at once.
-BOOST_AUTO_TEST_CASE(a_lost_answer_is_given_up_long_before_the_deadline_and_a_slow_one_is_not)
+// Guards against waiting until the deadline for a lost response when another server could still answer.
+BOOST_AUTO_TEST_CASE(a_lost_response_times_out_before_the_deadline_and_a_slow_one_does_not)
 {
     ResponseTimeTracker time;
     std::mt19937_64 random(7);
@@ -35,7 +34,7 @@
     BOOST_TEST(time.responseTimeout(Milliseconds(300)).count() == 150);
 }
 
-BOOST_AUTO_TEST_CASE(patience_follows_servers_that_turn_slow)
+BOOST_AUTO_TEST_CASE(the_timeout_follows_servers_that_become_slow)
 {
     ResponseTimeTracker time;
     for (int i = 0; i < 100; ++i) {
--- a/tests/policy/cp_turn_priority.tests.cpp
+++ b/tests/policy/cp_turn_priority.tests.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(turn_priority)
 
-BOOST_AUTO_TEST_CASE(only_turns_of_programs_that_are_too_late_go_behind_the_others)
+BOOST_AUTO_TEST_CASE(only_turns_of_late_programs_get_a_lower_priority)
 {
     const int first = turnPriority({0, Milliseconds(500)});
     BOOST_TEST(turnPriority({1, Milliseconds(1)}) == first);
--- a/tests/support/cp_engine_fleet.hpp
+++ b/tests/support/cp_engine_fleet.hpp
@@ -14,43 +14,43 @@
 namespace cardamompost::tests
 {
 
-//! A kind of agent program.
+//! Parameters of a kind of agent program.
 struct ProgramKind {
     std::string name;
     unsigned rank = 0;
     double perSecond = 0;
-    double worth = 1;
-    double lateWorth = 0.3;
+    double value = 1;
+    double lateValueShare = 0.3;
     double turns = 4;
-    //! Of a program's own prompt at its first turn, and what each later one adds.
-    double tokensIn = 650;
-    double tokensMore = 40;
-    //! At the begin of each prompt, and kept at every engine.
-    double tokensShared = 512;
-    //! Events of an answer: the first comes with the first token, each later one after so many more.
+    //! Prompt tokens of the first turn, and those added by each later turn.
+    double firstTurnTokens = 650;
+    double laterTurnTokens = 40;
+    //! Prefix shared by all prompts and cached on every engine.
+    double sharedPrefixTokens = 512;
+    //! Events of a response: the first contains one token, each later one tokensPerEvent.
     double events = 2.9;
-    double tokensAnEvent = 25;
+    double tokensPerEvent = 25;
     Ms pause = 60;
-    //! Chance of sub-agents after a turn, and how many; each runs two turns.
-    double fan = 0;
-    double width = 5;
-    //! A program should be finished within so many times its time on idle engines, and a margin.
-    double aim = 1.4;
+    //! Probability of a fan-out to sub-agents after a turn, and the number of sub-agents.
+    double fanOutChance = 0;
+    double fanOutWidth = 5;
+    //! Target duration as a multiple of the duration on idle engines, before targetDurationMargin is added.
+    double targetDurationFactor = 1.4;
 };
 
-//! The leader that places turns is lost, and a member takes over that followed where programs ran.
+//! Failure of the placement leader and takeover by a follower.
 struct LeaderLoss {
     Ms at = 0;
-    //! Until the new one leads, and until it has read the list of engines besides.
-    Ms gap = 200;
-    Ms listGap = 100;
+    //! Time until the new leader is elected, and until it then has the engine list.
+    Ms electionTime = 200;
+    Ms serverListDelay = 100;
 };
 
-//! More programs of a kind for a while; of all kinds where the name is empty.
+//! Multiplies the arrival rate of a kind for a time; an empty name stands for all kinds.
 struct LoadBurst {
     Ms from = 0;
     Ms until = 0;
-    double times = 1;
+    double factor = 1;
     std::string kind;
 };
 
@@ -63,21 +63,21 @@
     Ms length = 34'000;
 };
 
-//! What callers of one kind got.
+//! Results for one kind of program.
 struct KindResult {
-    double owed = 0;
-    double earned = 0;
+    double possibleValue = 0;
+    double earnedValue = 0;
     unsigned programs = 0;
     unsigned inTime = 0;
     unsigned late = 0;
 
-    [[nodiscard]] double share() const
+    [[nodiscard]] double earnedShare() const
     {
-        return owed == 0 ? 1 : earned / owed;
+        return possibleValue == 0 ? 1 : earnedValue / possibleValue;
     }
 };
 
-//! Plays programs against a placement and a fleet of engines, in virtual time: what callers get of a load.
+//! Simulates programs on a fleet of engines with turn placement, in virtual time.
 class EngineFleet
 {
 public:
@@ -103,11 +103,11 @@
     std::map<std::string, KindResult> run()
     {
         for (std::size_t kind = 0; kind < load_.kinds.size(); ++kind) {
-            at(0, [this, kind] { arrive(kind); });
+            schedule(0, [this, kind] { arrive(kind); });
         }
-        at(0, [this] { tick(); });
+        schedule(0, [this] { tick(); });
         if (load_.loss) {
-            at(load_.loss->at, [this] { loseLeader(); });
+            schedule(load_.loss->at, [this] { replaceLeader(); });
         }
         while (!events_.empty()) {
             const Event next = events_.top();
@@ -120,13 +120,16 @@
             const ProgramKind &kind = load_.kinds[program.kind];
             KindResult &result = results[kind.name];
             const Ms took = program.ended - program.began;
-            const bool isInTime = program.isDone && took <= program.aim;
-            const bool isLate = program.isDone && !isInTime && took <= 2 * program.aim;
+            const bool isInTime = program.isDone && took <= program.targetDuration;
+            const bool isLate = program.isDone && !isInTime && took <= 2 * program.targetDuration;
             ++result.programs;
             result.inTime += isInTime ? 1 : 0;
             result.late += isLate ? 1 : 0;
-            result.owed += kind.worth * program.size;
-            result.earned += program.size * (isInTime ? kind.worth : isLate ? kind.worth * kind.lateWorth : 0);
+            result.possibleValue += kind.value * program.size;
+            result.earnedValue += program.size
+                * (isInTime     ? kind.value
+                       : isLate ? kind.value * kind.lateValueShare
+                                : 0);
         }
         return results;
     }
@@ -140,12 +143,12 @@
     }
 
 private:
-    static constexpr Ms way = 13;
-    static constexpr Ms aimMargin = 200;
-    static constexpr Ms tickEvery = 10;
+    static constexpr Ms networkDelay = 13;
+    static constexpr Ms targetDurationMargin = 200;
+    static constexpr Ms tickInterval = 10;
     static constexpr unsigned subAgentTurns = 2;
 
-    struct Line {
+    struct Conversation {
         std::size_t program = 0;
         std::string name;
         std::string parent;
@@ -155,26 +158,26 @@
         bool isMain = false;
     };
     struct Turn {
-        std::size_t line = 0;
-        double out = 0;
+        std::size_t conversation = 0;
+        double outputTokens = 0;
         std::string id;
         std::string engine;
     };
     struct Program {
         std::size_t kind = 0;
         Ms began = 0;
-        Ms aim = 0;
+        Ms targetDuration = 0;
         Ms ended = 0;
         double size = 1;
         bool isDone = false;
-        bool hasRun = false;
+        bool hasStarted = false;
         unsigned subAgents = 0;
         std::size_t main = 0;
-        //! Drawn ahead, so that policies meet the same programs.
+        //! Drawn at the start of the program, so that all policies see the same load.
         std::vector<double> inputs;
         std::vector<double> outputs;
         std::vector<Ms> pauses;
-        std::vector<unsigned> widths;
+        std::vector<unsigned> fanOutWidths;
     };
     struct Event {
         Ms time = 0;
@@ -195,20 +198,20 @@
     {
         return "domain-" + std::to_string(number % 5);
     }
-    void at(Ms time, std::function<void()> action)
+    void schedule(Ms time, std::function<void()> action)
     {
         events_.push({time, sequence_++, std::move(action)});
     }
-    double spreadAround(double mean, double spread)
+    double drawLogNormal(double mean, double spread)
     {
         return mean * std::exp(std::normal_distribution<double>(-spread * spread / 2, spread)(random_));
     }
-    double rateNow(const ProgramKind &kind) const
+    double currentRate(const ProgramKind &kind) const
     {
         double rate = kind.perSecond;
         for (const LoadBurst &burst : load_.bursts) {
-            const bool isOn = now_ >= burst.from && now_ < burst.until;
-            rate *= isOn && (burst.kind.empty() || burst.kind == kind.name) ? burst.times : 1;
+            const bool isActive = now_ >= burst.from && now_ < burst.until;
+            rate *= isActive && (burst.kind.empty() || burst.kind == kind.name) ? burst.factor : 1;
         }
         return rate;
     }
@@ -217,7 +220,7 @@
         placement_->tick(timeAt(now_));
         follower_->tick(timeAt(now_));
         if (now_ < load_.length + 20'000) {
-            at(now_ + tickEvery, [this] { tick(); });
+            schedule(now_ + tickInterval, [this] { tick(); });
         }
     }
     void arrive(std::size_t kindNumber)
@@ -227,13 +230,13 @@
             return;
         }
         begin(kindNumber);
-        const double rate = rateNow(kind);
-        at(now_ + std::exponential_distribution<double>(rate / 1000)(random_),
-           [this, kindNumber] { arrive(kindNumber); });
+        const double rate = currentRate(kind);
+        schedule(now_ + std::exponential_distribution<double>(rate / 1000)(random_),
+                 [this, kindNumber] { arrive(kindNumber); });
     }
-    [[nodiscard]] Ms idleTurn(double out) const
+    [[nodiscard]] Ms idleTurnDuration(double outputTokens) const
     {
-        return load_.engine.setUp + out * (load_.engine.step + load_.engine.stepPerTurn) + 10;
+        return load_.engine.setUp + outputTokens * (load_.engine.step + load_.engine.stepPerTurn) + 10;
     }
     void begin(std::size_t kindNumber)
     {
@@ -242,70 +245,73 @@
         program.kind = kindNumber;
         program.began = now_;
         const auto turns
-            = static_cast<unsigned>(std::clamp(std::round(spreadAround(kind.turns, 0.4)), 1.0, kind.turns * 2));
-        Ms idle = 0;
+            = static_cast<unsigned>(std::clamp(std::round(drawLogNormal(kind.turns, 0.4)), 1.0, kind.turns * 2));
+        Ms idleDuration = 0;
         for (unsigned i = 0; i < turns; ++i) {
-            const double input = i == 0 ? kind.tokensIn : kind.tokensMore;
-            program.inputs.push_back(std::min(spreadAround(input, 0.7), input * 5));
+            const double input = i == 0 ? kind.firstTurnTokens : kind.laterTurnTokens;
+            program.inputs.push_back(std::min(drawLogNormal(input, 0.7), input * 5));
             program.outputs.push_back(drawOutput(kind));
-            Ms pause = spreadAround(kind.pause, 0.6);
+            Ms pause = drawLogNormal(kind.pause, 0.6);
             Ms slowest = 0;
-            for (const auto &[share, work] :
+            for (const auto &[probability, work] :
                  {std::pair(0.7, 52.0), std::pair(0.7, 52.0), std::pair(0.4, 208.0), std::pair(0.2, 139.0)}) {
-                if (chance(share)) {
-                    slowest = std::max(slowest, spreadAround(work, 1.0) + 8);
+                if (chance(probability)) {
+                    slowest = std::max(slowest, drawLogNormal(work, 1.0) + 8);
                 }
             }
             program.pauses.push_back(pause + slowest);
-            const bool fans = i + 1 < turns && chance(kind.fan);
-            program.widths.push_back(
-                fans ? std::max(1U, static_cast<unsigned>(std::round(spreadAround(kind.width, 0.3)))) : 0);
-            idle += idleTurn(program.outputs.back()) + 2 * way + (i + 1 < turns ? program.pauses.back() : 0);
-            idle += fans ? subAgentTurns * (idleTurn(1 + (kind.events - 1) * kind.tokensAnEvent) + 2 * way) : 0;
+            const bool fansOut = i + 1 < turns && chance(kind.fanOutChance);
+            program.fanOutWidths.push_back(
+                fansOut ? std::max(1U, static_cast<unsigned>(std::round(drawLogNormal(kind.fanOutWidth, 0.3)))) : 0);
+            idleDuration += idleTurnDuration(program.outputs.back()) + 2 * networkDelay
+                + (i + 1 < turns ? program.pauses.back() : 0);
+            idleDuration += fansOut
+                ? subAgentTurns * (idleTurnDuration(1 + (kind.events - 1) * kind.tokensPerEvent) + 2 * networkDelay)
+                : 0;
         }
-        program.aim = kind.aim * idle + aimMargin;
+        program.targetDuration = kind.targetDurationFactor * idleDuration + targetDurationMargin;
         program.size = 0.3 + 0.7 * std::min(4.0, turns / kind.turns);
         const std::size_t number = programs_.size();
         programs_.push_back(std::move(program));
-        programs_[number].main
-            = addLine({number, "p" + std::to_string(number), {}, kind.tokensShared, kind.tokensShared, turns, true});
+        programs_[number].main = addConversation(
+            {number, "p" + std::to_string(number), {}, kind.sharedPrefixTokens, kind.sharedPrefixTokens, turns, true});
         startTurn(programs_[number].main);
     }
     double drawOutput(const ProgramKind &kind)
     {
-        const double events = std::round(std::clamp(spreadAround(kind.events, 0.8), 1.0, kind.events * 4));
-        return 1 + (events - 1) * kind.tokensAnEvent;
+        const double events = std::round(std::clamp(drawLogNormal(kind.events, 0.8), 1.0, kind.events * 4));
+        return 1 + (events - 1) * kind.tokensPerEvent;
     }
-    bool chance(double share)
+    bool chance(double probability)
     {
-        return std::uniform_real_distribution<double>(0, 1)(random_) < share;
+        return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
     }
-    std::size_t addLine(Line line)
+    std::size_t addConversation(Conversation conversation)
     {
-        lines_.push_back(std::move(line));
-        return lines_.size() - 1;
+        conversations_.push_back(std::move(conversation));
+        return conversations_.size() - 1;
     }
-    void startTurn(std::size_t lineNumber)
+    void startTurn(std::size_t conversationNumber)
     {
-        Line &line = lines_[lineNumber];
-        Program &program = programs_[line.program];
+        Conversation &conversation = conversations_[conversationNumber];
+        Program &program = programs_[conversation.program];
         const ProgramKind &kind = load_.kinds[program.kind];
-        const std::size_t done = line.isMain ? program.inputs.size() - line.turnsLeft : 0;
+        const std::size_t done = conversation.isMain ? program.inputs.size() - conversation.turnsLeft : 0;
         Turn turn;
-        turn.line = lineNumber;
-        turn.out = line.isMain ? program.outputs[done] : drawOutput(kind);
-        line.prompt += line.isMain ? program.inputs[done] : kind.tokensMore;
-        turn.id = line.name + "-" + std::to_string(line.turnsLeft);
+        turn.conversation = conversationNumber;
+        turn.outputTokens = conversation.isMain ? program.outputs[done] : drawOutput(kind);
+        conversation.prompt += conversation.isMain ? program.inputs[done] : kind.laterTurnTokens;
+        turn.id = conversation.name + "-" + std::to_string(conversation.turnsLeft);
         const std::size_t number = turns_.size();
         turns_.push_back(turn);
         TurnToPlace unplacedTurn;
         unplacedTurn.turn = turn.id;
-        unplacedTurn.program = programNameOf(lineNumber);
+        unplacedTurn.program = programNameOf(conversationNumber);
         unplacedTurn.service = "engines";
-        unplacedTurn.failureDomain = domainOf(line.program);
+        unplacedTurn.failureDomain = domainOf(conversation.program);
         unplacedTurn.rank = kind.rank;
-        unplacedTurn.isInProgress = program.hasRun;
-        unplacedTurn.isLate = now_ > program.began + program.aim;
+        unplacedTurn.isInProgress = program.hasStarted;
+        unplacedTurn.isLate = now_ > program.began + program.targetDuration;
         unplacedTurn.timeLeft = Milliseconds(3000);
         unplaced_[number] = std::move(unplacedTurn);
         place(number);
@@ -317,14 +323,14 @@
                                 [this, number](const std::string &engine) { send(number, engine); });
         }
     }
-    void loseLeader()
+    void replaceLeader()
     {
-        // What it still holds is asked for again at the next one, as entries do.
+        // Entries repeat unanswered requests at the new leader.
         hasLeader_ = false;
-        lost_ = std::move(placement_);
+        formerLeader_ = std::move(placement_);
         placement_ = std::move(follower_);
         follower_ = std::make_unique<TurnPlacement>(random_());
-        at(now_ + load_.loss->gap, [this] {
+        schedule(now_ + load_.loss->electionTime, [this] {
             hasLeader_ = true;
             std::vector<std::size_t> waiting;
             for (const auto &[number, unplacedTurn] : unplaced_) {
@@ -334,29 +340,32 @@
                 place(number);
             }
         });
-        at(now_ + load_.loss->gap + load_.loss->listGap, [this] { placement_->setServers(servers_, timeAt(now_)); });
+        schedule(now_ + load_.loss->electionTime + load_.loss->serverListDelay,
+                 [this] { placement_->setServers(servers_, timeAt(now_)); });
     }
-    [[nodiscard]] std::string programNameOf(std::size_t line) const
+    [[nodiscard]] std::string programNameOf(std::size_t conversation) const
     {
-        return "p" + std::to_string(lines_[line].program);
+        return "p" + std::to_string(conversations_[conversation].program);
     }
     void send(std::size_t turnNumber, const std::string &engine)
     {
         unplaced_.erase(turnNumber);
-        // An entry that is named no engine chooses by the program's name.
-        const std::size_t line = turns_[turnNumber].line;
+        // Without an assigned engine, the entry hashes the program's name.
+        const std::size_t conversation = turns_[turnNumber].conversation;
         const std::size_t number
-            = engine.empty() ? stableHash(programNameOf(line)) % engines_.size() : std::stoul(engine);
+            = engine.empty() ? stableHash(programNameOf(conversation)) % engines_.size() : std::stoul(engine);
         turns_[turnNumber].engine = std::to_string(number);
-        programs_[lines_[line].program].hasRun = true;
-        at(now_ + way + load_.engine.setUp, [this, turnNumber, number] { reach(turnNumber, number); });
+        programs_[conversations_[conversation].program].hasStarted = true;
+        schedule(now_ + networkDelay + load_.engine.setUp,
+                 [this, turnNumber, number] { arriveAtEngine(turnNumber, number); });
     }
-    void reach(std::size_t turnNumber, std::size_t engine)
+    void arriveAtEngine(std::size_t turnNumber, std::size_t engine)
     {
         const Turn &turn = turns_[turnNumber];
-        const Line &line = lines_[turn.line];
-        engines_[engine].add({turnNumber, line.name, line.parent, line.prompt, line.parentPrompt,
-                              load_.kinds[programs_[line.program].kind].tokensShared, 0, turn.out, 0});
+        const Conversation &conversation = conversations_[turn.conversation];
+        engines_[engine].add(
+            {turnNumber, conversation.name, conversation.parent, conversation.prompt, conversation.parentPrompt,
+             load_.kinds[programs_[conversation.program].kind].sharedPrefixTokens, 0, turn.outputTokens, 0});
         if (!isBusy_[engine]) {
             isBusy_[engine] = true;
             step(engine);
@@ -366,9 +375,9 @@
     {
         std::vector<std::size_t> done;
         const Ms time = engines_[engine].step(done);
-        at(now_ + time, [this, engine, done] {
+        schedule(now_ + time, [this, engine, done] {
             for (const std::size_t turn : done) {
-                at(now_ + way, [this, turn] { finish(turn); });
+                schedule(now_ + networkDelay, [this, turn] { finish(turn); });
             }
             isBusy_[engine] = !engines_[engine].isIdle();
             if (isBusy_[engine]) {
@@ -380,38 +389,38 @@
     {
         const Turn turn = turns_[turnNumber];
         placement_->release(turn.id, timeAt(now_));
-        follower_->noteRan(programNameOf(turn.line), turn.engine, timeAt(now_));
-        Line &line = lines_[turn.line];
-        line.prompt += turn.out;
-        --line.turnsLeft;
-        if (!line.isMain) {
-            line.turnsLeft == 0 ? endSubAgent(line.program) : startTurn(turn.line);
+        follower_->recordLastEngine(programNameOf(turn.conversation), turn.engine, timeAt(now_));
+        Conversation &conversation = conversations_[turn.conversation];
+        conversation.prompt += turn.outputTokens;
+        --conversation.turnsLeft;
+        if (!conversation.isMain) {
+            conversation.turnsLeft == 0 ? endSubAgent(conversation.program) : startTurn(turn.conversation);
             return;
         }
-        Program &program = programs_[line.program];
-        const std::size_t done = program.inputs.size() - line.turnsLeft;
-        if (line.turnsLeft == 0) {
+        Program &program = programs_[conversation.program];
+        const std::size_t done = program.inputs.size() - conversation.turnsLeft;
+        if (conversation.turnsLeft == 0) {
             program.isDone = true;
             program.ended = now_;
             return;
         }
-        // Callers leave what is far too late.
-        if (now_ - program.began > 2 * program.aim + 3000) {
+        // Clients abandon programs that are far past their target.
+        if (now_ - program.began > 2 * program.targetDuration + 3000) {
             return;
         }
-        const std::size_t lineNumber = turn.line;
-        const unsigned width = program.widths[done - 1];
-        if (width == 0) {
-            at(now_ + program.pauses[done - 1], [this, lineNumber] { startTurn(lineNumber); });
+        const std::size_t conversationNumber = turn.conversation;
+        const unsigned fanOutWidth = program.fanOutWidths[done - 1];
+        if (fanOutWidth == 0) {
+            schedule(now_ + program.pauses[done - 1], [this, conversationNumber] { startTurn(conversationNumber); });
             return;
         }
-        program.subAgents = width;
-        const std::size_t programNumber = line.program;
-        const double prompt = line.prompt;
-        const std::string name = line.name;
-        for (unsigned i = 0; i < width; ++i) {
+        program.subAgents = fanOutWidth;
+        const std::size_t programNumber = conversation.program;
+        const double prompt = conversation.prompt;
+        const std::string name = conversation.name;
+        for (unsigned i = 0; i < fanOutWidth; ++i) {
             const std::string sub = name + "." + std::to_string(done) + "." + std::to_string(i);
-            startTurn(addLine({programNumber, sub, name, prompt, prompt, subAgentTurns, false}));
+            startTurn(addConversation({programNumber, sub, name, prompt, prompt, subAgentTurns, false}));
         }
     }
     void endSubAgent(std::size_t programNumber)
@@ -421,19 +430,19 @@
             return;
         }
         const std::size_t main = program.main;
-        const std::size_t done = program.inputs.size() - lines_[main].turnsLeft;
-        at(now_ + program.pauses[done - 1], [this, main] { startTurn(main); });
+        const std::size_t done = program.inputs.size() - conversations_[main].turnsLeft;
+        schedule(now_ + program.pauses[done - 1], [this, main] { startTurn(main); });
     }
 
     FleetLoad load_;
     std::mt19937_64 random_;
     std::unique_ptr<TurnPlacement> placement_;
     std::unique_ptr<TurnPlacement> follower_;
-    //! Kept, since nobody answers the turns that it holds.
-    std::unique_ptr<TurnPlacement> lost_;
+    //! Kept alive so that its waiting turns stay unanswered.
+    std::unique_ptr<TurnPlacement> formerLeader_;
     std::vector<BackendServer> servers_;
     bool hasLeader_ = true;
-    //! Turns that wait for a leader, or for a place.
+    //! Turns that wait for a leader or a slot.
     std::map<std::size_t, TurnToPlace> unplaced_;
     std::vector<ModelEngine> engines_;
     std::vector<bool> isBusy_;
@@ -441,7 +450,7 @@
     std::uint64_t sequence_ = 0;
     Ms now_ = 0;
     std::deque<Program> programs_;
-    std::deque<Line> lines_;
+    std::deque<Conversation> conversations_;
     std::deque<Turn> turns_;
 };
 
--- a/tools/gateway_ablation.py
+++ b/tools/gateway_ablation.py
@@ -28,8 +28,8 @@
         "src/gateway/cp_presence_table.hpp", "Milliseconds(250), Milliseconds(900)", "Milliseconds(900), Milliseconds(900)"),
     "mute servers are left out": (FORWARDER, "mute {900}", "mute {900'000}"),
     "the leader places turns": (FORWARDER, "if (request.begin && request.tried.empty()) {", "if (false) {"),
-    "programs stay with their engine": (PLACEMENT, "shareToLeave = 2.5", "shareToLeave = 0.0"),
-    "new programs wait for a place": (PLACEMENT, "newShare = 1.1", "newShare = 1000"),
+    "programs stay with their engine": (PLACEMENT, "maxAffinityImbalance = 2.5", "maxAffinityImbalance = 0.0"),
+    "new programs wait for a place": (PLACEMENT, "newProgramLoadLimit = 1.1", "newProgramLoadLimit = 1000"),
     "overdue reads go elsewhere": (
         FORWARDER, "    const Repeats *repeats = repeatsOf(request);\n    const bool mayGoElsewhere",
         "    const Repeats *repeats = nullptr;\n    const bool mayGoElsewhere"),
