--- a/include/cardamompost/limits/cp_request_limiter.hpp
+++ b/include/cardamompost/limits/cp_request_limiter.hpp
@@ -15,20 +15,21 @@
 namespace cardamompost
 {
 
-//! How exactly limits have to be kept.
+//! Precision with which limits are enforced.
 struct LimitTolerance {
-    //! In any span of this length an account gets its rate times the span and its burst. 0 for spans of every length.
+    //! In any span of this length an account gets at most its rate times the span plus its burst. 0 for spans of every
+    //! length.
     Milliseconds window {0};
-    //! What may come on top of that, as a share and as a number of requests. It is used up only when the VM that counts
-    //! is replaced, as its successor does not know what was admitted in the last moment before.
+    //! Excess allowed over the limit, as a share and as a number of requests. It is used only when the leader changes,
+    //! because the new leader lacks the most recent admissions.
     double excessShare = 0;
     double excessRequests = 0;
 };
 
-//! What a request that was not admitted is beyond.
+//! The limit that a rejected request exceeded.
 enum class LimitReached {
     None,
-    //! The account has begun as many programs as its limit can finish.
+    //! The account has started as many programs as its limit can finish.
     Programs,
     Rate,
     Window,
@@ -41,26 +42,27 @@
     Named {LimitReached::Window, "window"},
 };
 
-//! Counts the requests of accounts in one place for all entries, and admits what their limits allow.
+//! Enforces the request limits of accounts for all entries.
 //!
-//! An account over its limit gets the requests of the programs that it has begun, and begins only as many as it can
-//! finish: were requests refused by lot, none of its programs would end. Thread-safety: none. Time is an argument.
+//! An account over its limit gets the requests of programs in progress and starts only as many new programs as it can
+//! finish; rejecting requests randomly would leave all its programs incomplete.
+//! Thread-safety: none. Time is an argument.
 class RequestLimiter
 {
 public:
     struct AdmissionRequest {
         std::string_view account;
-        //! The same request may ask again, after a lost answer; it counts once.
+        //! Request id; a repeated request with the same id counts once.
         std::string_view id;
-        //! The first request of a program.
+        //! True for the first request of a program.
         bool beginsProgram = false;
     };
     struct Decision {
         bool isAdmitted = false;
         LimitReached reached = LimitReached::None;
-        //! When it is admitted: how long the request has to wait until it is sent.
+        //! Time to wait before sending an admitted request.
         Milliseconds delay {0};
-        //! When it is not: the time to come back.
+        //! Time after which a rejected request may be retried.
         Milliseconds retryAfter {0};
     };
 
@@ -69,20 +71,19 @@
     {
     }
 
-    //! Puts limits in force. Accounts that are known keep what they have used; a new one begins with nothing.
+    //! Applies limits. Known accounts keep their usage; new accounts start with an empty bucket.
     void setLimits(const std::vector<Account> &accounts, TimePoint now);
-    //! Takes over from another VM, of whose admissions all but the last unreported ones are known.
-    //! \param nowMs  as the log's times are told
+    //! Restores the usage that the previous leader reported.
+    //! \param nowMs  the current time on the clock of the usage log
     void takeOver(const UsageLog &usage, std::int64_t nowMs, TimePoint now);
-    //! What was admitted since the last call, for a report that outlives this VM.
+    //! Takes the admissions since the last report, to be replicated.
     [[nodiscard]] std::vector<AccountUsage> takeReport(TimePoint now);
-    //! The report is stored, or lost.
+    //! Completes a report; one that was not stored is reported again.
     void endReport(const std::vector<AccountUsage> &report, bool isStored);
-    //! It is time for the next report.
     [[nodiscard]] bool isReportDue(TimePoint now) const;
-    //! The account has as much unreported as a successor may not know of: its next requests wait for the report.
+    //! True while the account's unreported usage is at the tolerance; its next requests must wait for the report.
     [[nodiscard]] bool waitsForReport(const std::string &account) const;
-    //! As it is in force; unbounded for an account that is not known.
+    //! The limit in force; unbounded for an unknown account.
     [[nodiscard]] RequestLimit limitOf(const std::string &account) const
     {
         const auto found = usages_.find(account);
@@ -91,80 +92,80 @@
     [[nodiscard]] Decision admit(const AdmissionRequest &request, TimePoint now);
 
 private:
-    //! A number that grows with time up to a bound, and may be overdrawn.
-    class Allowance
+    //! Token bucket whose level may become negative.
+    class OverdraftBucket
     {
     public:
         void reset(TimePoint now);
-        void refill(double perSecond, double most, TimePoint now);
-        [[nodiscard]] double level() const
+        void refill(double perSecond, double maxTokens, TimePoint now);
+        [[nodiscard]] double tokens() const
         {
-            return level_;
+            return tokens_;
         }
         void take()
         {
-            level_ -= 1;
+            tokens_ -= 1;
         }
 
     private:
-        double level_ = 0;
-        TimePoint at_ {};
+        double tokens_ = 0;
+        TimePoint updatedAt_ {};
     };
-    //! Requests by the time of their admission, over somewhat more than the window.
-    class RecentCounts
+    //! Sliding-window counter of admitted requests, in slices.
+    class SlidingWindow
     {
     public:
         void add(TimePoint now, Milliseconds slice);
         [[nodiscard]] double sum(TimePoint now, Milliseconds slice) const;
-        //! Until an earlier request leaves the window.
-        [[nodiscard]] Milliseconds untilFewer(TimePoint now, Milliseconds slice) const;
-        static constexpr std::size_t slicesAWindow = 50;
+        //! Time until the oldest counted request leaves the window.
+        [[nodiscard]] Milliseconds timeUntilExpiry(TimePoint now, Milliseconds slice) const;
+        static constexpr std::size_t slicesPerWindow = 50;
 
     private:
-        // The oldest slice is in the window in part, and requests with a delay count at the time when they are sent.
-        static constexpr std::size_t slices = slicesAWindow + 5;
+        // Extra slices hold the oldest, partly expired slice and delayed requests, which count at their sending time.
+        static constexpr std::size_t slices = slicesPerWindow + 5;
 
         std::array<std::uint32_t, slices> counts_ {};
-        std::int64_t last_ = 0;
+        std::int64_t lastSlice_ = 0;
     };
     struct Usage {
         RequestLimit limit;
-        Allowance requests;
-        RecentCounts recent;
-        Allowance programs;
-        //! The last time to come back that was given out.
-        TimePoint lastReturn {};
-        //! Admitted, and not in a report yet; and in one that is not stored yet.
+        OverdraftBucket requests;
+        SlidingWindow recent;
+        OverdraftBucket programs;
+        //! Latest retry time that was assigned.
+        TimePoint lastRetryAt {};
+        //! Admissions not yet reported, and those in a report that is not yet stored.
         std::uint32_t unreported = 0;
         std::uint32_t inReport = 0;
     };
-    //! Requests a program, as seen over all accounts lately.
-    class ProgramSize
+    //! Decaying mean of requests per program over all accounts.
+    class RequestsPerProgram
     {
     public:
-        void note(bool beginsProgram, TimePoint now);
+        void record(bool beginsProgram, TimePoint now);
         [[nodiscard]] double mean() const;
 
     private:
         double requests_ = 0;
         double programs_ = 0;
-        TimePoint at_ {};
+        TimePoint updatedAt_ {};
     };
 
-    //! The most that may be admitted at once after a pause.
-    [[nodiscard]] double depthOf(const RequestLimit &limit) const;
+    //! Largest number of requests admitted at once after an idle time.
+    [[nodiscard]] double bucketCapacity(const RequestLimit &limit) const;
     [[nodiscard]] double allowedInWindow(const RequestLimit &limit) const;
-    //! Requests that a successor may not know of.
+    //! Largest number of requests that may be missing from the reports.
     [[nodiscard]] double maxUnreported(const RequestLimit &limit) const;
-    //! Until one more request fits into the window; 0 when it does.
-    [[nodiscard]] Milliseconds untilWindowFits(const Usage &usage, TimePoint now) const;
+    //! Time until the window allows one more request; 0 if it does now.
+    [[nodiscard]] Milliseconds timeUntilWindowAllows(const Usage &usage, TimePoint now) const;
     [[nodiscard]] Milliseconds slice() const
     {
-        return std::max(Milliseconds(1), tolerance_.window / static_cast<int>(RecentCounts::slicesAWindow));
+        return std::max(Milliseconds(1), tolerance_.window / static_cast<int>(SlidingWindow::slicesPerWindow));
     }
-    [[nodiscard]] bool isKnown(std::string_view id, TimePoint now);
-    //! \param wait  until the request could be admitted, if no other came
-    //! \param perSecond  how many can be admitted a second from then on
+    [[nodiscard]] bool isDuplicate(std::string_view id, TimePoint now);
+    //! \param wait       time until the request could be admitted if no other arrives
+    //! \param perSecond  rate of admissions from then on
     [[nodiscard]] static Decision refuse(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
                                          TimePoint now);
 
@@ -172,13 +173,13 @@
     std::unordered_map<std::string, Usage> usages_;
     TimePoint lastReport_ {};
     bool isReporting_ = false;
-    //! Some account has half of what may be unreported.
+    //! Some account has reached half of its unreported tolerance.
     bool isReportUrgent_ = false;
-    ProgramSize programSize_;
-    //! Ids that were admitted lately, and those before.
-    std::unordered_set<std::string> recent_;
-    std::unordered_set<std::string> older_;
-    TimePoint rotatedAt_ {};
+    RequestsPerProgram requestsPerProgram_;
+    //! Ids of admitted requests: the current and the previous generation.
+    std::unordered_set<std::string> recentIds_;
+    std::unordered_set<std::string> olderIds_;
+    TimePoint idsRotatedAt_ {};
 };
 
 } // namespace cardamompost
--- a/include/cardamompost/limits/cp_retry_budget.hpp
+++ b/include/cardamompost/limits/cp_retry_budget.hpp
@@ -4,23 +4,21 @@
 namespace cardamompost
 {
 
-//! Limits retries to a share of first attempts, so that a failing backend server is not sent
-//! several times its usual load.
+//! Limits retries to a share of first attempts, so that retries do not multiply the load on failing backend servers.
 //!
-//! Source: the token-bucket form of retry throttling published for gRPC (proposal A6).
+//! Source: token-bucket retry throttling of gRPC (proposal A6).
 //! Thread-safety: none; the owner of the call queue holds its lock.
 class RetryBudget
 {
 public:
-    //! \param retriesPerAttempt  tokens earned by one first attempt, 0 to 1
-    //! \param burst              most tokens held, at least 1
+    //! \param retriesPerAttempt  tokens added per first attempt, 0 to 1
+    //! \param burst              maximum number of tokens, at least 1
     RetryBudget(double retriesPerAttempt, double burst);
 
-    //! Counts a first attempt.
     void onFirstAttempt();
 
     [[nodiscard]] bool mayRetry() const;
-    //! Takes one token if there is one. False: the caller answers with the attempt's own error.
+    //! Takes one token. Returns false if there is none; the caller then returns the error of the attempt.
     [[nodiscard]] bool tryRetry();
 
 private:
--- a/include/cardamompost/limits/cp_token_bucket.hpp
+++ b/include/cardamompost/limits/cp_token_bucket.hpp
@@ -6,17 +6,17 @@
 namespace cardamompost
 {
 
-//! Limits a rate, with bursts. Thread-safety: none; its user holds a lock.
+//! Token bucket. Thread-safety: none; the caller holds a lock.
 class TokenBucket
 {
 public:
-    //! \param perSecond  tokens earned a second
-    //! \param burst      most tokens held; it starts full
+    //! \param perSecond  tokens added per second
+    //! \param burst      capacity; the bucket starts full
     TokenBucket(double perSecond, double burst, TimePoint now);
 
-    //! Takes tokens if there are enough.
+    //! Takes the tokens if all are available; otherwise takes none and returns false.
     [[nodiscard]] bool tryTake(double tokens, TimePoint now);
-    //! Time until there are that many.
+    //! Time until that many tokens are available.
     [[nodiscard]] Milliseconds timeUntil(double tokens, TimePoint now) const;
     void setRate(double perSecond, double burst, TimePoint now);
 
--- a/include/cardamompost/limits/cp_usage_log.hpp
+++ b/include/cardamompost/limits/cp_usage_log.hpp
@@ -10,7 +10,7 @@
 namespace cardamompost
 {
 
-//! Requests of an account that were admitted since the last report.
+//! Requests of an account admitted since the last report.
 struct AccountUsage {
     std::string account;
     std::uint32_t requests = 0;
@@ -18,7 +18,7 @@
     friend bool operator==(const AccountUsage &, const AccountUsage &) = default;
 };
 
-//! What accounts have used lately, as reports of the VM that counts say. Thread-safety: none.
+//! Recent usage of accounts, as reported by the leader. Thread-safety: none.
 class UsageLog
 {
 public:
@@ -30,7 +30,7 @@
     };
     using Items = std::map<std::string, std::deque<Item>>;
 
-    //! Takes a report, and forgets what is older than any window.
+    //! Adds a report and drops items older than keepMs.
     void add(std::int64_t nowMs, const std::vector<AccountUsage> &report)
     {
         for (const AccountUsage &usage : report) {
@@ -54,7 +54,7 @@
         return items_;
     }
 
-    // Longer than windows of limits.
+    // Must exceed the longest limit window.
     static constexpr std::int64_t keepMs = 15'000;
 
 private:
--- a/src/cardamompost/limits/cp_request_limiter.cpp
+++ b/src/cardamompost/limits/cp_request_limiter.cpp
@@ -10,28 +10,28 @@
 namespace
 {
 
-// A request whose turn comes this soon waits for it instead of being refused.
-constexpr Milliseconds longestDelay {150};
-// Longer than an entry goes on asking for one request.
-constexpr Milliseconds rememberFor {3000};
+// Requests over the rate are delayed up to this time instead of rejected.
+constexpr Milliseconds maxDelay {150};
+// Must exceed the time for which an entry retries one request.
+constexpr Milliseconds idRetention {3000};
 constexpr Milliseconds reportInterval {200};
-// Of the precision, what a successor may not know of.
-constexpr double shareOfPrecisionUnreported = 0.25;
-constexpr Milliseconds soonestReturn {20};
-// Callers that are refused together are spread over this time at most.
-constexpr Milliseconds latestReturn {2000};
-// Programs that may begin at once, in seconds of the limit. Their requests come over the seconds that follow.
+// Share of the tolerated excess that may be unreported.
+constexpr double unreportedToleranceShare = 0.25;
+constexpr Milliseconds minRetryAfter {20};
+// Upper bound of the retry times assigned to rejected requests.
+constexpr Milliseconds maxRetryAfter {2000};
+// Burst of new programs, in seconds of the account's rate.
 constexpr double programBurstSeconds = 4;
-// The rest, and the share of the limit, are for changes of the VM that counts: each may cost longestDelay once more,
-// and what was not reported yet.
-constexpr double shareOfOverRequests = 0.8;
-constexpr double fewestProgramsAtOnce = 3;
-// What a new program leaves of the burst to those that have begun.
-constexpr double shareLeftToBegun = 0.25;
-// Assumed until programs have been seen.
-constexpr double priorRequestsAProgram = 8;
+// Share of the tolerated excess requests added to the burst; the rest covers the delay and unreported requests of
+// leader changes.
+constexpr double burstToleranceShare = 0.8;
+constexpr double minProgramBurst = 3;
+// Share of the bucket that new programs leave to programs in progress.
+constexpr double inProgressReserveShare = 0.25;
+// Prior of the mean, used until enough programs have been counted.
+constexpr double priorRequestsPerProgram = 8;
 constexpr double priorWeight = 5;
-constexpr double programSizeHalfLifeSeconds = 5;
+constexpr double requestsPerProgramHalfLifeSeconds = 5;
 
 double secondsBetween(TimePoint from, TimePoint to)
 {
@@ -45,19 +45,19 @@
 
 } // namespace
 
-void RequestLimiter::Allowance::reset(TimePoint now)
+void RequestLimiter::OverdraftBucket::reset(TimePoint now)
 {
-    level_ = 0;
-    at_ = now;
+    tokens_ = 0;
+    updatedAt_ = now;
 }
 
-void RequestLimiter::Allowance::refill(double perSecond, double most, TimePoint now)
+void RequestLimiter::OverdraftBucket::refill(double perSecond, double maxTokens, TimePoint now)
 {
-    if (now > at_) {
-        level_ += perSecond * secondsBetween(at_, now);
-        at_ = now;
+    if (now > updatedAt_) {
+        tokens_ += perSecond * secondsBetween(updatedAt_, now);
+        updatedAt_ = now;
     }
-    level_ = std::min(level_, most);
+    tokens_ = std::min(tokens_, maxTokens);
 }
 
 namespace
@@ -70,54 +70,54 @@
 
 } // namespace
 
-void RequestLimiter::RecentCounts::add(TimePoint now, Milliseconds slice)
+void RequestLimiter::SlidingWindow::add(TimePoint now, Milliseconds slice)
 {
     const std::int64_t number = sliceNumber(now, slice);
-    for (std::int64_t i = std::max(last_ + 1, number - static_cast<std::int64_t>(slices) + 1); i <= number; ++i) {
+    for (std::int64_t i = std::max(lastSlice_ + 1, number - static_cast<std::int64_t>(slices) + 1); i <= number; ++i) {
         counts_[static_cast<std::size_t>(i) % slices] = 0;
     }
-    last_ = std::max(last_, number);
-    ++counts_[static_cast<std::size_t>(last_) % slices];
+    lastSlice_ = std::max(lastSlice_, number);
+    ++counts_[static_cast<std::size_t>(lastSlice_) % slices];
 }
 
-double RequestLimiter::RecentCounts::sum(TimePoint now, Milliseconds slice) const
+double RequestLimiter::SlidingWindow::sum(TimePoint now, Milliseconds slice) const
 {
-    const std::int64_t oldest = std::max(sliceNumber(now, slice) - static_cast<std::int64_t>(slicesAWindow),
-                                         last_ - static_cast<std::int64_t>(slices) + 1);
+    const std::int64_t oldest = std::max(sliceNumber(now, slice) - static_cast<std::int64_t>(slicesPerWindow),
+                                         lastSlice_ - static_cast<std::int64_t>(slices) + 1);
     double sum = 0;
-    for (std::int64_t i = oldest; i <= last_; ++i) {
+    for (std::int64_t i = oldest; i <= lastSlice_; ++i) {
         sum += counts_[static_cast<std::size_t>(i) % slices];
     }
     return sum;
 }
 
-Milliseconds RequestLimiter::RecentCounts::untilFewer(TimePoint now, Milliseconds slice) const
+Milliseconds RequestLimiter::SlidingWindow::timeUntilExpiry(TimePoint now, Milliseconds slice) const
 {
     const std::int64_t current = sliceNumber(now, slice);
-    for (std::int64_t i = current - static_cast<std::int64_t>(slicesAWindow); i <= last_; ++i) {
-        if (i > last_ - static_cast<std::int64_t>(slices) && counts_[static_cast<std::size_t>(i) % slices] != 0) {
-            const auto leaves = (i + static_cast<std::int64_t>(slicesAWindow) + 1) * slice;
+    for (std::int64_t i = current - static_cast<std::int64_t>(slicesPerWindow); i <= lastSlice_; ++i) {
+        if (i > lastSlice_ - static_cast<std::int64_t>(slices) && counts_[static_cast<std::size_t>(i) % slices] != 0) {
+            const auto leaves = (i + static_cast<std::int64_t>(slicesPerWindow) + 1) * slice;
             return std::chrono::ceil<Milliseconds>(leaves - now.time_since_epoch());
         }
     }
     return Milliseconds(0);
 }
 
-void RequestLimiter::ProgramSize::note(bool beginsProgram, TimePoint now)
+void RequestLimiter::RequestsPerProgram::record(bool beginsProgram, TimePoint now)
 {
-    if (now > at_) {
-        const double kept = std::exp2(-secondsBetween(at_, now) / programSizeHalfLifeSeconds);
-        requests_ *= kept;
-        programs_ *= kept;
-        at_ = now;
+    if (now > updatedAt_) {
+        const double decay = std::exp2(-secondsBetween(updatedAt_, now) / requestsPerProgramHalfLifeSeconds);
+        requests_ *= decay;
+        programs_ *= decay;
+        updatedAt_ = now;
     }
     requests_ += 1;
     programs_ += beginsProgram ? 1 : 0;
 }
 
-double RequestLimiter::ProgramSize::mean() const
+double RequestLimiter::RequestsPerProgram::mean() const
 {
-    return std::max(1.0, (requests_ + priorRequestsAProgram * priorWeight) / (programs_ + priorWeight));
+    return std::max(1.0, (requests_ + priorRequestsPerProgram * priorWeight) / (programs_ + priorWeight));
 }
 
 void RequestLimiter::setLimits(const std::vector<Account> &accounts, TimePoint now)
@@ -133,7 +133,7 @@
             usage.requests.reset(now);
             usage.programs.reset(now);
         } else {
-            usage.requests.refill(usage.limit.perSecond, depthOf(usage.limit), now);
+            usage.requests.refill(usage.limit.perSecond, bucketCapacity(usage.limit), now);
         }
         usage.limit = account.limit;
         usages_.emplace(account.name, usage);
@@ -144,11 +144,11 @@
 {
     for (auto &[name, state] : usages_) {
         state.recent = {};
-        state.lastReturn = {};
+        state.lastRetryAt = {};
         state.unreported = 0;
         state.inReport = 0;
-        const double depth = depthOf(state.limit);
-        // Rested long ago, and since then as the reports say.
+        const double capacity = bucketCapacity(state.limit);
+        // Starts with full buckets before the oldest report, then replays the reports.
         TimePoint at = now - Milliseconds(UsageLog::keepMs);
         state.requests.reset(at - Milliseconds(UsageLog::keepMs));
         state.programs.reset(at - Milliseconds(UsageLog::keepMs));
@@ -158,7 +158,7 @@
         }
         for (const UsageLog::Item &item : items->second) {
             at = now - Milliseconds(std::max<std::int64_t>(0, nowMs - item.atMs));
-            state.requests.refill(state.limit.perSecond, depth, at);
+            state.requests.refill(state.limit.perSecond, capacity, at);
             for (std::uint32_t i = 0; i < item.requests; ++i) {
                 state.requests.take();
                 if (tolerance_.window.count() != 0) {
@@ -167,8 +167,8 @@
             }
         }
     }
-    recent_.clear();
-    older_.clear();
+    recentIds_.clear();
+    olderIds_.clear();
     isReporting_ = false;
     isReportUrgent_ = false;
 }
@@ -180,8 +180,8 @@
 
 double RequestLimiter::maxUnreported(const RequestLimit &limit) const
 {
-    const double over = allowedInWindow(limit) * tolerance_.excessShare + tolerance_.excessRequests;
-    return std::max(1.0, shareOfPrecisionUnreported * over);
+    const double excess = allowedInWindow(limit) * tolerance_.excessShare + tolerance_.excessRequests;
+    return std::max(1.0, unreportedToleranceShare * excess);
 }
 
 std::vector<AccountUsage> RequestLimiter::takeReport(TimePoint now)
@@ -224,74 +224,74 @@
         && usage->second.unreported + usage->second.inReport >= maxUnreported(usage->second.limit);
 }
 
-bool RequestLimiter::isKnown(std::string_view id, TimePoint now)
+bool RequestLimiter::isDuplicate(std::string_view id, TimePoint now)
 {
-    if (now - rotatedAt_ >= rememberFor) {
-        older_ = now - rotatedAt_ >= 2 * rememberFor ? std::unordered_set<std::string>() : std::move(recent_);
-        recent_.clear();
-        rotatedAt_ = now;
+    if (now - idsRotatedAt_ >= idRetention) {
+        olderIds_ = now - idsRotatedAt_ >= 2 * idRetention ? std::unordered_set<std::string>() : std::move(recentIds_);
+        recentIds_.clear();
+        idsRotatedAt_ = now;
     }
     const std::string key(id);
-    return recent_.contains(key) || older_.contains(key);
+    return recentIds_.contains(key) || olderIds_.contains(key);
 }
 
 RequestLimiter::Decision RequestLimiter::refuse(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
                                                 TimePoint now)
 {
-    // One after the other, so that those that are refused together do not come back together.
-    const TimePoint next = usage.lastReturn + toMilliseconds(1 / perSecond);
-    const TimePoint at = std::clamp(std::max(next, now + wait), now + soonestReturn, now + latestReturn);
-    usage.lastReturn = at;
+    // Spaces the retry times, so that rejected requests do not return all at once.
+    const TimePoint next = usage.lastRetryAt + toMilliseconds(1 / perSecond);
+    const TimePoint at = std::clamp(std::max(next, now + wait), now + minRetryAfter, now + maxRetryAfter);
+    usage.lastRetryAt = at;
     return {false, reached, Milliseconds(0), std::chrono::ceil<Milliseconds>(at - now)};
 }
 
-double RequestLimiter::depthOf(const RequestLimit &limit) const
+double RequestLimiter::bucketCapacity(const RequestLimit &limit) const
 {
-    const double over = tolerance_.window.count() == 0 ? 0 : shareOfOverRequests * tolerance_.excessRequests;
-    return std::max(1.0, limit.burst + over);
+    const double excess = tolerance_.window.count() == 0 ? 0 : burstToleranceShare * tolerance_.excessRequests;
+    return std::max(1.0, limit.burst + excess);
 }
 
-Milliseconds RequestLimiter::untilWindowFits(const Usage &usage, TimePoint now) const
+Milliseconds RequestLimiter::timeUntilWindowAllows(const Usage &usage, TimePoint now) const
 {
     if (tolerance_.window.count() == 0) {
         return Milliseconds(0);
     }
     const double allowed = std::max(1.0, allowedInWindow(usage.limit));
-    const bool fits = usage.recent.sum(now, slice()) + 1 <= allowed;
-    return fits ? Milliseconds(0) : std::max(Milliseconds(1), usage.recent.untilFewer(now, slice()));
+    const bool isWithinLimit = usage.recent.sum(now, slice()) + 1 <= allowed;
+    return isWithinLimit ? Milliseconds(0) : std::max(Milliseconds(1), usage.recent.timeUntilExpiry(now, slice()));
 }
 
 RequestLimiter::Decision RequestLimiter::admit(const AdmissionRequest &request, TimePoint now)
 {
     const auto found = usages_.find(std::string(request.account));
-    if (found == usages_.end() || isKnown(request.id, now)) {
+    if (found == usages_.end() || isDuplicate(request.id, now)) {
         return {true, LimitReached::None, Milliseconds(0), Milliseconds(0)};
     }
     Usage &usage = found->second;
     const double perSecond = usage.limit.perSecond;
-    const double depth = depthOf(usage.limit);
-    const double programsPerSecond = perSecond / programSize_.mean();
-    const double mostPrograms
-        = std::max(fewestProgramsAtOnce, (usage.limit.burst + perSecond * programBurstSeconds) / programSize_.mean());
-    usage.requests.refill(perSecond, depth, now);
-    usage.programs.refill(programsPerSecond, mostPrograms, now);
+    const double capacity = bucketCapacity(usage.limit);
+    const double programsPerSecond = perSecond / requestsPerProgram_.mean();
+    const double programCapacity
+        = std::max(minProgramBurst, (usage.limit.burst + perSecond * programBurstSeconds) / requestsPerProgram_.mean());
+    usage.requests.refill(perSecond, capacity, now);
+    usage.programs.refill(programsPerSecond, programCapacity, now);
 
     if (request.beginsProgram) {
-        const double needed = std::min(depth, 1 + shareLeftToBegun * depth);
-        if (usage.programs.level() < 1) {
+        const double needed = std::min(capacity, 1 + inProgressReserveShare * capacity);
+        if (usage.programs.tokens() < 1) {
             return refuse(usage, LimitReached::Programs,
-                          toMilliseconds((1 - usage.programs.level()) / programsPerSecond), programsPerSecond, now);
+                          toMilliseconds((1 - usage.programs.tokens()) / programsPerSecond), programsPerSecond, now);
         }
-        if (usage.requests.level() < needed) {
-            return refuse(usage, LimitReached::Rate, toMilliseconds((needed - usage.requests.level()) / perSecond),
+        if (usage.requests.tokens() < needed) {
+            return refuse(usage, LimitReached::Rate, toMilliseconds((needed - usage.requests.tokens()) / perSecond),
                           perSecond, now);
         }
     }
-    const Milliseconds delay = toMilliseconds(std::max(0.0, 1 - usage.requests.level()) / perSecond);
-    if (delay > longestDelay) {
+    const Milliseconds delay = toMilliseconds(std::max(0.0, 1 - usage.requests.tokens()) / perSecond);
+    if (delay > maxDelay) {
         return refuse(usage, LimitReached::Rate, delay, perSecond, now);
     }
-    if (const Milliseconds wait = untilWindowFits(usage, now); wait.count() > 0) {
+    if (const Milliseconds wait = timeUntilWindowAllows(usage, now); wait.count() > 0) {
         return refuse(usage, LimitReached::Window, wait, perSecond, now);
     }
     if (request.beginsProgram) {
@@ -303,8 +303,8 @@
     if (tolerance_.window.count() != 0) {
         usage.recent.add(now + delay, slice());
     }
-    programSize_.note(request.beginsProgram, now);
-    recent_.emplace(request.id);
+    requestsPerProgram_.record(request.beginsProgram, now);
+    recentIds_.emplace(request.id);
     return {true, LimitReached::None, delay, Milliseconds(0)};
 }
 
--- a/src/cardamompost/limits/cp_retry_budget.cpp
+++ b/src/cardamompost/limits/cp_retry_budget.cpp
@@ -31,9 +31,7 @@
 
 bool RetryBudget::tryRetry()
 {
-    // Guards against a retry storm: when every replica of a deployment answers late, each timeout would
-    // start another attempt and the replicas never catch up. An empty bucket ends that, because retries
-    // can then come no faster than callers bring new first attempts.
+    // Guards against a retry storm: with an empty bucket, retries cannot outpace new first attempts.
     if (!mayRetry()) {
         return false;
     }
--- a/tests/limits/cp_limits.tests.cpp
+++ b/tests/limits/cp_limits.tests.cpp
@@ -7,8 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(limits)
 
-// Every replica of a deployment stops answering at once. Callers keep sending; each call times out and asks for a
-// retry. Without a budget the replicas come back to several times their usual load and fail again.
+// Guards against a retry storm when every replica of a deployment times out.
 BOOST_AUTO_TEST_CASE(retries_stay_a_share_of_first_attempts_while_all_replicas_fail)
 {
     RetryBudget budget(0.1, 10.0);
@@ -21,7 +20,7 @@
     BOOST_TEST(retries >= 100);
 }
 
-BOOST_AUTO_TEST_CASE(a_token_bucket_keeps_to_its_rate_and_says_when_to_come_back)
+BOOST_AUTO_TEST_CASE(a_token_bucket_keeps_its_rate_and_reports_the_time_until_the_next_token)
 {
     const TimePoint start {std::chrono::hours(1)};
     TokenBucket bucket(10.0, 5.0, start);
@@ -38,7 +37,7 @@
     BOOST_TEST(bucket.tryTake(1.0, later + wait));
 }
 
-BOOST_AUTO_TEST_CASE(a_lower_rate_takes_back_what_was_saved)
+BOOST_AUTO_TEST_CASE(lowering_the_burst_discards_excess_tokens)
 {
     const TimePoint start {std::chrono::hours(1)};
     TokenBucket bucket(100.0, 100.0, start);
--- a/tests/support/cp_limit_storm.hpp
+++ b/tests/support/cp_limiter_simulation.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_TESTS_CP_LIMIT_STORM_HPP_INCLUDED
-#define CARDAMOMPOST_TESTS_CP_LIMIT_STORM_HPP_INCLUDED
+#ifndef CARDAMOMPOST_TESTS_CP_LIMITER_SIMULATION_HPP_INCLUDED
+#define CARDAMOMPOST_TESTS_CP_LIMITER_SIMULATION_HPP_INCLUDED
 
 #include <cardamompost/core/cp_ids.hpp>
 #include <cardamompost/limits/cp_request_limiter.hpp>
@@ -11,21 +11,21 @@
 namespace cardamompost::tests
 {
 
-//! Counts what reached backend servers in every window, exactly.
-class ExactWindow
+//! Checks the exact number of requests that reached backend servers in every window.
+class ExactWindowCheck
 {
 public:
-    ExactWindow(RequestLimit limit, LimitTolerance tolerance)
+    ExactWindowCheck(RequestLimit limit, LimitTolerance tolerance)
         : limit_(limit)
         , tolerance_(tolerance)
     {
     }
 
-    void note(TimePoint at)
+    void record(TimePoint at)
     {
         times_.push_back(at);
     }
-    //! Above 0 when the limit was broken.
+    //! Largest excess over the limit in any window; above 0 if the limit was exceeded.
     [[nodiscard]] double worstExcess()
     {
         std::sort(times_.begin(), times_.end());
@@ -49,30 +49,30 @@
     std::vector<TimePoint> times_;
 };
 
-//! What goes wrong in a storm beside the changes of leaders.
-enum class PlantedFault {
+//! Fault injected in addition to leader changes.
+enum class InjectedFault {
     None,
-    //! A leader begins with full allowances, as if nothing had been admitted before.
-    FullAtTakeover,
-    //! A request that asks again is admitted again, and sent both times.
-    CountsNoRepeats,
-    //! Each entry enforces the whole limit by itself.
+    //! A new leader starts with full buckets and no usage.
+    FullBucketAtTakeover,
+    //! A repeated request is admitted and sent again.
+    IgnoresDuplicates,
+    //! Each entry enforces the whole limit separately.
     NoSharedCount,
-    //! A leader that was replaced goes on admitting, though none of its reports is stored.
+    //! A deposed leader continues to admit requests without storing reports.
     AdmitsUnreported,
 };
 
-//! One account before leaders that change, twice in a second at times, in virtual time: requests of a third to twelve
-//! times its limit, some of which ask again since an answer was lost, and reports that take a while to be stored.
-class LimitStorm
+//! Simulates one account in virtual time, with leader changes, repeated requests and delayed reports, under loads below
+//! and above the limit.
+class LimiterSimulation
 {
 public:
-    explicit LimitStorm(std::uint64_t seed, PlantedFault fault = PlantedFault::None)
+    explicit LimiterSimulation(std::uint64_t seed, InjectedFault fault = InjectedFault::None)
         : random_(seed)
         , fault_(fault)
-        , limit_ {pick(2, 350), pick(0, 350)}
-        , exact_(limit_, tolerance())
-        , load_(pick(0.3, 12))
+        , limit_ {uniform(2, 350), uniform(0, 350)}
+        , windowCheck_(limit_, tolerance())
+        , load_(uniform(0.3, 12))
     {
         start(leaders_[0]);
         start(leaders_[1]);
@@ -82,25 +82,25 @@
     {
         return {Milliseconds(5000), 0.1, 20};
     }
-    //! \returns the worst excess over the limit in any window
+    //! \returns the largest excess over the limit in any window
     double run()
     {
         constexpr Milliseconds length {25'000};
         const TimePoint end = now_ + length;
-        TimePoint nextChange = now_ + Milliseconds(static_cast<int>(pick(200, 9000)));
+        TimePoint nextLeaderChange = now_ + Milliseconds(static_cast<int>(uniform(200, 9000)));
         while (now_ < end) {
             now_ += std::chrono::microseconds(1
                                               + static_cast<int>(std::exponential_distribution<double>(1)(random_) * 1e6
                                                                  / (limit_.perSecond * load_)));
-            if (now_ >= nextChange) {
+            if (now_ >= nextLeaderChange) {
                 changeLeader();
-                nextChange
-                    = now_ + Milliseconds(static_cast<int>(pick(0, 1) < 0.3 ? pick(300, 1000) : pick(2000, 9000)));
+                nextLeaderChange = now_
+                    + Milliseconds(static_cast<int>(uniform(0, 1) < 0.3 ? uniform(300, 1000) : uniform(2000, 9000)));
             }
             storeReports();
-            ask();
+            sendRequest();
         }
-        return exact_.worstExcess();
+        return windowCheck_.worstExcess();
     }
     [[nodiscard]] int admitted() const
     {
@@ -108,30 +108,30 @@
     }
 
 private:
-    double pick(double from, double to)
+    double uniform(double from, double to)
     {
         return std::uniform_real_distribution<double>(from, to)(random_);
     }
     void start(RequestLimiter &limiter)
     {
-        constexpr Milliseconds longAgo {60'000};
+        constexpr Milliseconds idleTime {60'000};
         limiter = RequestLimiter(tolerance());
         Account account;
         account.name = "a";
         account.limit = limit_;
-        // An account that has been there for long has its full burst.
-        limiter.setLimits({account}, now_ - longAgo);
+        // The account has been idle, so its bucket is full.
+        limiter.setLimits({account}, now_ - idleTime);
     }
     [[nodiscard]] std::int64_t nowMs() const
     {
         return std::chrono::duration_cast<Milliseconds>(now_.time_since_epoch()).count();
     }
-    //! Reports that a quorum has by now.
+    //! Takes reports when they are due and stores them after a replication delay.
     void storeReports()
     {
         if (report_.empty() && leaders_[leader_].isReportDue(now_)) {
             report_ = leaders_[leader_].takeReport(now_);
-            storedAt_ = now_ + Milliseconds(static_cast<int>(pick(3, 60)));
+            storedAt_ = now_ + Milliseconds(static_cast<int>(uniform(3, 60)));
         }
         if (!report_.empty() && now_ >= storedAt_) {
             usage_.add(nowMs(), report_);
@@ -141,59 +141,58 @@
     }
     void changeLeader()
     {
-        // Nobody admits between the end of one lease and the election of the next leader. What the one before admitted
-        // with a delay is still sent.
-        if (fault_ != PlantedFault::AdmitsUnreported) {
-            now_ += Milliseconds(static_cast<int>(pick(100, 300)));
+        // No requests are admitted between the end of a lease and the next election; delayed requests are still sent.
+        if (fault_ != InjectedFault::AdmitsUnreported) {
+            now_ += Milliseconds(static_cast<int>(uniform(100, 300)));
         }
-        // A report that was on its way is stored or lost.
-        if (!report_.empty() && pick(0, 1) < 0.5) {
+        // A report in flight is stored or lost.
+        if (!report_.empty() && uniform(0, 1) < 0.5) {
             usage_.add(nowMs(), report_);
         }
         report_.clear();
         leader_ = 1 - leader_;
         start(leaders_[leader_]);
-        leaders_[leader_].takeOver(fault_ == PlantedFault::FullAtTakeover ? UsageLog() : usage_, nowMs(), now_);
+        leaders_[leader_].takeOver(fault_ == InjectedFault::FullBucketAtTakeover ? UsageLog() : usage_, nowMs(), now_);
     }
-    void ask()
+    void sendRequest()
     {
-        // A deposed leader that is asked by half of the entries.
-        const bool isOld = fault_ == PlantedFault::AdmitsUnreported && pick(0, 1) < 0.5;
-        RequestLimiter &limiter = leaders_[isOld ? 1 - leader_ : leader_];
+        // Half of the requests go to the deposed leader.
+        const bool isDeposed = fault_ == InjectedFault::AdmitsUnreported && uniform(0, 1) < 0.5;
+        RequestLimiter &limiter = leaders_[isDeposed ? 1 - leader_ : leader_];
         const std::string id = std::to_string(++requests_);
-        if (fault_ == PlantedFault::NoSharedCount) {
-            // Two entries of which each has the account's whole limit.
+        if (fault_ == InjectedFault::NoSharedCount) {
+            // Two entries, each enforcing the whole limit.
             send(leaders_[requests_ % 2], id);
             return;
         }
-        if (send(limiter, id) && pick(0, 1) < 0.1) {
+        if (send(limiter, id) && uniform(0, 1) < 0.1) {
             const RequestLimiter::Decision again = limiter.admit({"a", id, false}, now_);
-            // The entry sends a request once, however often it had to ask.
-            if (again.isAdmitted && fault_ == PlantedFault::CountsNoRepeats) {
+            // An entry sends a request once, however often it asked for admission.
+            if (again.isAdmitted && fault_ == InjectedFault::IgnoresDuplicates) {
                 for (int i = 0; i < 20; ++i) {
-                    exact_.note(now_);
+                    windowCheck_.record(now_);
                 }
             }
         }
     }
     bool send(RequestLimiter &limiter, const std::string &id)
     {
-        const bool ignoresReports = fault_ == PlantedFault::NoSharedCount || fault_ == PlantedFault::AdmitsUnreported;
+        const bool ignoresReports = fault_ == InjectedFault::NoSharedCount || fault_ == InjectedFault::AdmitsUnreported;
         if (!ignoresReports && limiter.waitsForReport("a")) {
             return false;
         }
         const RequestLimiter::Decision decision = limiter.admit({"a", id, false}, now_);
         if (decision.isAdmitted) {
             ++admitted_;
-            exact_.note(now_ + decision.delay);
+            windowCheck_.record(now_ + decision.delay);
         }
         return decision.isAdmitted;
     }
 
     std::mt19937_64 random_;
-    PlantedFault fault_;
+    InjectedFault fault_;
     RequestLimit limit_;
-    ExactWindow exact_;
+    ExactWindowCheck windowCheck_;
     double load_;
     TimePoint now_ {std::chrono::hours(1)};
     std::array<RequestLimiter, 2> leaders_;
@@ -207,4 +206,4 @@
 
 } // namespace cardamompost::tests
 
-#endif // CARDAMOMPOST_TESTS_CP_LIMIT_STORM_HPP_INCLUDED
+#endif // CARDAMOMPOST_TESTS_CP_LIMITER_SIMULATION_HPP_INCLUDED
