--- a/include/cardamompost/accounts/cp_account.hpp
+++ b/include/cardamompost/accounts/cp_account.hpp
@@ -12,16 +12,16 @@
 namespace cardamompost
 {
 
-//! SHA-256 of an access key. Keys themselves are not kept.
+//! SHA-256 of an access key. The keys themselves are not stored.
 using KeyHash = std::array<std::uint8_t, 32>;
 
 [[nodiscard]] KeyHash hashKey(std::string_view key);
 
-//! How many requests an account may send, over all entries together.
+//! Request limit of an account over all entries.
 struct RequestLimit {
-    //! 0 for no limit.
+    //! 0 means unlimited.
     double perSecond = 0;
-    //! Requests that may come at once on top.
+    //! Requests allowed at once in addition to the rate.
     double burst = 0;
 
     [[nodiscard]] bool isBounded() const
@@ -31,19 +31,21 @@
     friend bool operator==(const RequestLimit &, const RequestLimit &) = default;
 };
 
-//! A client account, as the operators' document declares it.
+//! A client account as declared by the operator.
 struct Account {
     std::string name;
     std::vector<KeyHash> keys;
-    //! Compared before the rank of a request's route; 0 goes first. Nothing for an account without one.
+    //! Compared before the rank of the request's route; 0 goes first. Empty if the account has none.
     std::optional<unsigned> rank;
     RequestLimit limit;
 
     friend bool operator==(const Account &, const Account &) = default;
 };
 
-//! Errors: InvalidConfiguration for a name that is empty, used twice or no header value, and for a key of two accounts.
-//! The message has the accounts' names and no key.
+//! Checks accounts for valid and unique names and for shared keys.
+//!
+//! Errors: InvalidConfiguration for a name that is empty, duplicate or not a header value, and for a key that belongs
+//! to two accounts. The message names the accounts and never a key.
 [[nodiscard]] Result<void> checkAccounts(const std::vector<Account> &accounts);
 
 } // namespace cardamompost
--- a/include/cardamompost/accounts/cp_account_table.hpp
+++ b/include/cardamompost/accounts/cp_account_table.hpp
@@ -9,11 +9,11 @@
 namespace cardamompost
 {
 
-//! Finds the account that holds a key. Immutable.
+//! Immutable index of accounts by key hash.
 class AccountTable
 {
 public:
-    //! \param accounts  checked ones; they outlive the table
+    //! \param accounts  validated by checkAccounts(); must outlive the table
     explicit AccountTable(const std::vector<Account> &accounts)
     {
         for (const Account &account : accounts) {
@@ -23,7 +23,7 @@
         }
     }
 
-    //! Null for a key that no account holds. Only hashes are compared, so the time tells nothing about a key.
+    //! Null for an unknown key. Only hashes are compared, so timing reveals nothing about a key.
     [[nodiscard]] const Account *find(const KeyHash &key) const
     {
         const auto found = byKey_.find(key);
@@ -32,7 +32,7 @@
 
 private:
     struct Hasher {
-        //! The bytes of a SHA-256 are spread evenly already.
+        //! SHA-256 bytes are uniformly distributed already.
         std::size_t operator()(const KeyHash &key) const
         {
             std::size_t value = 0;
--- a/include/cardamompost/accounts/cp_scoped_id.hpp
+++ b/include/cardamompost/accounts/cp_scoped_id.hpp
@@ -7,11 +7,11 @@
 namespace cardamompost
 {
 
-//! Between an account's name and an id. No header value has it, so neither part can contain it.
+//! Separates the account's name from the id. It cannot occur in a header value, and so in neither part.
 inline constexpr char scopeSeparator = '\n';
 
-//! The id of a turn or program within its account, so that accounts that use the same ids never share state.
-//! An empty id stays empty; without an account the id is returned as it is.
+//! Qualifies a turn or program id with its account, so that equal ids of different accounts never share state. An empty
+//! id stays empty; without an account the id is returned unchanged.
 [[nodiscard]] inline std::string scopedId(std::string_view account, std::string_view id)
 {
     if (account.empty() || id.empty()) {
@@ -25,7 +25,7 @@
     return scoped;
 }
 
-//! The id as the caller sent it.
+//! The id as the client sent it.
 [[nodiscard]] inline std::string_view unscopedId(std::string_view scoped)
 {
     const std::size_t at = scoped.find(scopeSeparator);
--- a/src/cardamompost/accounts/cp_account.cpp
+++ b/src/cardamompost/accounts/cp_account.cpp
@@ -36,18 +36,17 @@
     std::map<KeyHash, const Account *> keys;
     for (const Account &account : accounts) {
         if (!isHeaderValue(account.name)) {
-            return makeError(ErrorKind::InvalidConfiguration, "an account's name is empty, or can't stand in a header");
+            return makeError(ErrorKind::InvalidConfiguration, "an account name is empty or not a valid header value");
         }
         if (!names.emplace(account.name, &account).second) {
-            return makeError(ErrorKind::InvalidConfiguration,
-                             fmt::format("two accounts have the name '{}'", account.name));
+            return makeError(ErrorKind::InvalidConfiguration, fmt::format("duplicate account name '{}'", account.name));
         }
         for (const KeyHash &key : account.keys) {
             const auto [holder, isNew] = keys.emplace(key, &account);
             if (!isNew && holder->second != &account) {
                 return makeError(
                     ErrorKind::InvalidConfiguration,
-                    fmt::format("the accounts '{}' and '{}' share a key", holder->second->name, account.name));
+                    fmt::format("accounts '{}' and '{}' have the same key", holder->second->name, account.name));
             }
         }
     }
--- a/tests/accounts/cp_accounts.tests.cpp
+++ b/tests/accounts/cp_accounts.tests.cpp
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_SUITE(accounts)
 
-BOOST_AUTO_TEST_CASE(a_key_finds_its_account_and_no_other_does)
+BOOST_AUTO_TEST_CASE(only_the_exact_key_finds_an_account)
 {
     const std::vector<Account> all {account("officers", {"k1", "k2"}), account("foremen", {"k3"})};
     const AccountTable table(all);
@@ -33,7 +33,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_hash_is_the_published_one)
+BOOST_AUTO_TEST_CASE(key_hashes_match_the_published_sha256_vector)
 {
     const KeyHash hash = hashKey("abc");
     BOOST_TEST(hash[0] == 0xba);
@@ -41,8 +41,8 @@
     BOOST_TEST(hash[31] == 0xad);
 }
 
-// Guards against a key with two holders, one of whom would act for the other.
-BOOST_AUTO_TEST_CASE(accounts_that_share_a_key_are_refused_by_their_names_and_without_the_key)
+// Guards against one account acting for another through a shared key.
+BOOST_AUTO_TEST_CASE(accounts_sharing_a_key_are_rejected_without_revealing_the_key)
 {
     const Result<void> checked = checkAccounts(
         {account("officers", {"k1"}), account("foremen", {"k2", "secret-k1"}), account("agents", {"secret-k1"})});
@@ -53,8 +53,8 @@
     BOOST_TEST(checkAccounts({account("officers", {"k1", "k1"})}).has_value());
 }
 
-// Guards against a name that would break, or end, the header that carries it to backend servers.
-BOOST_AUTO_TEST_CASE(names_that_can_not_stand_in_a_header_are_refused)
+// Guards against header injection through account names.
+BOOST_AUTO_TEST_CASE(names_that_are_not_header_values_are_rejected)
 {
     for (const std::string &name : {std::string(), std::string("a\r\nHost: b"), std::string("a\nb"), std::string(" a"),
                                     std::string("a "), std::string("a\0b", 3)}) {
@@ -64,8 +64,8 @@
     BOOST_TEST(checkAccounts({account("Okpara Bulk, Lagos", {"k"})}).has_value());
 }
 
-// Guards against two accounts that use the same ids and would share a history or a budget.
-BOOST_AUTO_TEST_CASE(ids_of_accounts_never_meet)
+// Guards against sharing a program's history or budget between accounts.
+BOOST_AUTO_TEST_CASE(ids_of_different_accounts_never_collide)
 {
     BOOST_TEST(scopedId("a", "1") != scopedId("b", "1"));
     BOOST_TEST(scopedId("a", "b1") != scopedId("ab", "1"));
