--- a/src/gateway/cp_backend_exchange.cpp
+++ b/src/gateway/cp_backend_exchange.cpp
@@ -331,7 +331,7 @@
 {
     if (request_.begin) {
         // Nothing is handed out before what it may cost is durable; otherwise a lost ledger leader would forget it.
-        co_await request_.begin->untilFinal();
+        co_await request_.begin->waitUntilFinal();
         if (!request_.begin->isGranted()) {
             co_return ExchangeEnd::NotGranted;
         }
--- a/src/gateway/cp_entry_replica.cpp
+++ b/src/gateway/cp_entry_replica.cpp
@@ -38,7 +38,7 @@
 {
     takeDocument(update);
     takeList(update);
-    parts_.ledger.setKnown(
+    parts_.ledger.setHeldContent(
         {documentVersion(), parts_.pool.version(), documentBuckets_.digests(), listBuckets_.digests()});
     logIfStale();
 }
@@ -65,7 +65,7 @@
     parts_.log.info("document.in_force",
                     {{"version", update.documentVersion},
                      {"before", known},
-                     {"behind_ms", parts_.ledger.lag().staleFor(std::chrono::steady_clock::now()).count()}});
+                     {"behind_ms", parts_.ledger.staleness().staleFor(std::chrono::steady_clock::now()).count()}});
 }
 
 void EntryReplica::takeList(const UpdateReply &update)
@@ -93,11 +93,11 @@
 
 void EntryReplica::logIfStale()
 {
-    const DocumentStaleness &lag = parts_.ledger.lag();
-    const Milliseconds behind = lag.staleFor(std::chrono::steady_clock::now());
+    const DocumentStaleness &staleness = parts_.ledger.staleness();
+    const Milliseconds behind = staleness.staleFor(std::chrono::steady_clock::now());
     if (behind > maxStaleness && !hasLoggedStale_) {
         parts_.log.warn("document.behind",
-                        {{"version", documentVersion()}, {"newest", lag.newest()}, {"ms", behind.count()}});
+                        {{"version", documentVersion()}, {"newest", staleness.newest()}, {"ms", behind.count()}});
     }
     hasLoggedStale_ = behind > maxStaleness;
 }
--- a/src/gateway/cp_entry_server.cpp
+++ b/src/gateway/cp_entry_server.cpp
@@ -99,13 +99,13 @@
     if (isReady() != wasReady_) {
         wasReady_ = isReady();
         parts_.log.info("entry.readiness", {{"ready", wasReady_}});
-        ledger_.tellPresence(wasReady_);
+        ledger_.announcePresence(wasReady_);
     }
 }
 
 void EntryServer::keepTelling()
 {
-    ledger_.tellPresence(isReady());
+    ledger_.announcePresence(isReady());
     pool_.closeIdle(std::chrono::steady_clock::now());
     const Milliseconds interval = tellIntervalAVm * static_cast<int>(ledger_.memberCount());
     timer_.expires_after(std::clamp(interval, shortestTellInterval, longestTellInterval));
--- a/src/gateway/cp_forwarder.cpp
+++ b/src/gateway/cp_forwarder.cpp
@@ -205,7 +205,7 @@
         begin.placement = placementRequestFor(request);
     }
     request.begin = parts_.ledger.begin(std::move(begin), std::min(request.deadline, request.arrived + beginTimeout));
-    co_await request.begin->untilTentative();
+    co_await request.begin->waitUntilTentative();
     request.waited = std::chrono::duration_cast<Milliseconds>(timeNow() - request.arrived);
     if (request.begin->isTentative()) {
         co_return true;
--- a/src/gateway/cp_ledger_client.cpp
+++ b/src/gateway/cp_ledger_client.cpp
@@ -15,8 +15,8 @@
 {
 
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-constexpr Milliseconds tryTimeout {400};
-constexpr Milliseconds retryPause {10};
+constexpr Milliseconds attemptTimeout {400};
+constexpr Milliseconds retryInterval {10};
 constexpr Milliseconds updateWait {500};
 constexpr Milliseconds updateTimeout {900};
 
@@ -32,14 +32,14 @@
     changed_.cancel();
 }
 
-asio::awaitable<void> PendingBegin::untilTentative()
+asio::awaitable<void> PendingBegin::waitUntilTentative()
 {
     while (!isTentative_ && !isFinal_) {
         co_await changed_.async_wait(asTuple);
     }
 }
 
-asio::awaitable<void> PendingBegin::untilFinal()
+asio::awaitable<void> PendingBegin::waitUntilFinal()
 {
     while (!isFinal_) {
         co_await changed_.async_wait(asTuple);
@@ -49,21 +49,21 @@
 LedgerClient::LedgerClient(Parts parts)
     : parts_(parts)
     , seeds_(parts.settings.seedPeers())
-    , found_(parts.io)
+    , searchTimer_(parts.io)
     , beginRetries_(parts.metrics.counter("cardamompost_ledger_begin_retries_total"))
-    , slow_(parts.metrics.counter("cardamompost_ledger_slow_total"))
-    , lost_(parts.metrics.counter("cardamompost_ledger_lost_total"))
-    , toldBySuccessor_(parts.metrics.counter("cardamompost_ledger_told_by_successor_total"))
+    , slowLeaders_(parts.metrics.counter("cardamompost_ledger_slow_total"))
+    , lostLeaders_(parts.metrics.counter("cardamompost_ledger_lost_total"))
+    , leaderSwitches_(parts.metrics.counter("cardamompost_ledger_told_by_successor_total"))
     , finishRetries_(parts.metrics.counter("cardamompost_ledger_finish_retries_total"))
 {
     parts.metrics.gauge("cardamompost_document_behind_seconds", {},
                         [this] { return std::chrono::duration<double>(staleness_.staleFor(timeNow())).count(); });
 }
 
-void LedgerClient::start(UpdateHandler onUpdateRequest)
+void LedgerClient::start(UpdateHandler onUpdate)
 {
-    onUpdate_ = std::move(onUpdateRequest);
-    asio::co_spawn(parts_.io, readUpdates(), asio::detached);
+    onUpdate_ = std::move(onUpdate);
+    asio::co_spawn(parts_.io, pollUpdates(), asio::detached);
 }
 
 void LedgerClient::stop()
@@ -71,17 +71,17 @@
     isStopped_ = true;
 }
 
-std::shared_ptr<PendingBegin> LedgerClient::begin(TurnBegin begin, TimePoint until)
+std::shared_ptr<PendingBegin> LedgerClient::begin(TurnBegin begin, TimePoint deadline)
 {
-    auto attempt = std::make_shared<BeginTry>();
+    auto attempt = std::make_shared<BeginAttempt>();
     attempt->begin = std::move(begin);
-    attempt->until = until;
+    attempt->deadline = deadline;
     attempt->pending = std::make_shared<PendingBegin>(parts_.io);
     sendBegin(attempt);
     return attempt->pending;
 }
 
-void LedgerClient::sendBegin(const std::shared_ptr<BeginTry> &attempt)
+void LedgerClient::sendBegin(const std::shared_ptr<BeginAttempt> &attempt)
 {
     if (leader_.empty()) {
         resendLater(attempt);
@@ -89,29 +89,29 @@
     }
     const VmName peer = leader_;
     const auto client = parts_.peers.client(peer);
-    client->request(attempt->begin, tryTimeout, [this, attempt, peer](Result<FrameBody> reply, bool isLast) {
+    client->request(attempt->begin, attemptTimeout, [this, attempt, peer](Result<FrameBody> reply, bool isLast) {
         onBeginReply(attempt, peer, std::move(reply), isLast);
     });
 }
 
-void LedgerClient::onBeginReply(const std::shared_ptr<BeginTry> &attempt, const VmName &peer, Result<FrameBody> reply,
-                                bool isLast)
+void LedgerClient::onBeginReply(const std::shared_ptr<BeginAttempt> &attempt, const VmName &peer,
+                                Result<FrameBody> reply, bool isLast)
 {
     PendingBegin &pending = *attempt->pending;
     TurnBeginReply *answer = reply ? std::get_if<TurnBeginReply>(&reply.value()) : nullptr;
     if (answer == nullptr && attempt->isQueued && !pending.isTentative_) {
-        // It was heard from, and the wait for a place is longer than the time-out: ask again; its place is kept.
+        // The leader has queued the turn for longer than the timeout. A retry keeps its position in the queue.
         attempt->isQueued = false;
         sendBegin(attempt);
         return;
     }
     if (answer == nullptr) {
-        suspectLeader(peer, reply, "an unexpected reply");
+        suspectLeader(peer, reply, "unexpected reply type");
         resendLater(attempt);
         return;
     }
     if (answer->status == TurnBeginStatus::Tentative && pending.isTentative_) {
-        // Asked again; what was told before is in use already.
+        // A reply to a retry; the first tentative reply is already in use.
         return;
     }
     if (answer->status == TurnBeginStatus::Tentative) {
@@ -126,7 +126,7 @@
         return;
     }
     if (answer->status == TurnBeginStatus::NotLeader) {
-        loseLeader(peer, "it does not lead");
+        dropLeader(peer, "peer is not the leader");
         resendLater(attempt);
         return;
     }
@@ -136,79 +136,81 @@
     pending.signal();
 }
 
-void LedgerClient::resendLater(const std::shared_ptr<BeginTry> &attempt)
+void LedgerClient::resendLater(const std::shared_ptr<BeginAttempt> &attempt)
 {
     beginRetries_.add();
-    if (timeNow() + retryPause >= attempt->until || isStopped_) {
+    if (timeNow() + retryInterval >= attempt->deadline || isStopped_) {
         attempt->pending->isFinal_ = true;
         attempt->pending->signal();
         return;
     }
-    auto timer = std::make_shared<asio::steady_timer>(parts_.io, retryPause);
+    auto timer = std::make_shared<asio::steady_timer>(parts_.io, retryInterval);
     timer->async_wait([this, attempt, timer](const boost::system::error_code &) { sendBegin(attempt); });
 }
 
 template<typename Reply>
-asio::awaitable<std::optional<Reply>> LedgerClient::askLeader(FrameBody request, TimePoint until, Asking<Reply> asking)
+asio::awaitable<std::optional<Reply>> LedgerClient::requestFromLeader(FrameBody request, TimePoint deadline,
+                                                                      RetryPolicy<Reply> policy)
 {
-    while (timeNow() < until) {
+    while (timeNow() < deadline) {
         const VmName peer = leader_;
         const auto client = peer.empty() ? nullptr : parts_.peers.client(peer);
         if (!client) {
-            co_await sleepFor(retryPause);
+            co_await sleepFor(retryInterval);
             continue;
         }
         FrameBody body = request;
-        const Result<FrameBody> reply = co_await client->call(std::move(body), tryTimeout);
+        const Result<FrameBody> reply = co_await client->call(std::move(body), attemptTimeout);
         const Reply *answer = reply ? std::get_if<Reply>(&reply.value()) : nullptr;
-        if (answer != nullptr && asking.isFinal(*answer)) {
+        if (answer != nullptr && policy.isFinal(*answer)) {
             co_return *answer;
         }
-        if (asking.retries != nullptr) {
-            asking.retries->add();
+        if (policy.retries != nullptr) {
+            policy.retries->add();
         }
-        suspectLeader(peer, reply, asking.otherwise);
-        co_await sleepFor(retryPause);
+        suspectLeader(peer, reply, policy.failureReason);
+        co_await sleepFor(retryInterval);
     }
     co_return std::nullopt;
 }
 
-asio::awaitable<bool> LedgerClient::finish(TurnFinish finish, TimePoint until)
+asio::awaitable<bool> LedgerClient::finish(TurnFinish finish, TimePoint deadline)
 {
     FrameBody body = std::move(finish);
-    const Asking<TurnFinishReply> asking {[](const TurnFinishReply &reply) { return reply.isDurable; },
-                                          "it did not make the end durable", &finishRetries_};
-    const std::optional<TurnFinishReply> reply = co_await askLeader(std::move(body), until, asking);
+    const RetryPolicy<TurnFinishReply> policy {[](const TurnFinishReply &reply) { return reply.isDurable; },
+                                               "end of turn was not made durable", &finishRetries_};
+    const std::optional<TurnFinishReply> reply = co_await requestFromLeader(std::move(body), deadline, policy);
     co_return reply.has_value();
 }
 
-asio::awaitable<std::optional<AdmitReply>> LedgerClient::admit(AdmitRequest request, TimePoint until)
+asio::awaitable<std::optional<AdmitReply>> LedgerClient::admit(AdmitRequest request, TimePoint deadline)
 {
     FrameBody body = std::move(request);
-    const Asking<AdmitReply> asking {[](const AdmitReply &reply) { return reply.status != AdmitStatus::NotLeader; },
-                                     "it does not lead", nullptr};
-    co_return co_await askLeader(std::move(body), until, asking);
+    const RetryPolicy<AdmitReply> policy {
+        [](const AdmitReply &reply) { return reply.status != AdmitStatus::NotLeader; }, "peer is not the leader",
+        nullptr};
+    co_return co_await requestFromLeader(std::move(body), deadline, policy);
 }
 
-asio::awaitable<void> LedgerClient::readUpdates()
+asio::awaitable<void> LedgerClient::pollUpdates()
 {
-    loseLeader({}, "the start");
+    dropLeader({}, "entry is starting");
     while (!isStopped_) {
         const VmName peer = leader_;
         const auto client = peer.empty() ? nullptr : parts_.peers.client(peer);
         if (!client) {
-            co_await sleepFor(retryPause);
+            co_await sleepFor(retryInterval);
             continue;
         }
-        known_.waitMs = static_cast<std::uint32_t>(updateWait.count());
-        known_.staleMs = lacksSince_ ? static_cast<std::uint32_t>(toMs(timeNow() - *lacksSince_)) : 0;
-        FrameBody body = known_;
+        updateRequest_.waitMs = static_cast<std::uint32_t>(updateWait.count());
+        updateRequest_.staleMs = staleSince_ ? static_cast<std::uint32_t>(toMs(timeNow() - *staleSince_)) : 0;
+        FrameBody body = updateRequest_;
         const Result<FrameBody> reply = co_await client->call(std::move(body), updateTimeout);
         const UpdateReply *update = reply ? std::get_if<UpdateReply>(&reply.value()) : nullptr;
         if (update != nullptr && update->isLeader && update->term >= leaderTerm_) {
             applyUpdate(*update);
         } else if (leader_ == peer) {
-            loseLeader(peer, reply ? "it does not lead" : reply.error().message);
+            dropLeader(peer, reply ? "peer is not the leader" : reply.error().message);
         }
     }
 }
@@ -226,29 +228,29 @@
     }
     staleness_.noteNewest(update.documentVersion, lastUpdate_);
     onUpdate_(update);
-    const bool lacksList = known_.list < update.list;
-    if (!staleness_.isStale() && !lacksList) {
-        lacksSince_.reset();
-    } else if (!lacksSince_) {
-        lacksSince_ = lastUpdate_;
+    const bool isListStale = updateRequest_.list < update.list;
+    if (!staleness_.isStale() && !isListStale) {
+        staleSince_.reset();
+    } else if (!staleSince_) {
+        staleSince_ = lastUpdate_;
     }
 }
 
-void LedgerClient::setKnown(Known known)
+void LedgerClient::setHeldContent(HeldContent content)
 {
-    known_.documentVersion = known.documentVersion;
-    known_.list = known.list;
-    known_.documentDigests = std::move(known.documentDigests);
-    known_.listDigests = std::move(known.listDigests);
-    staleness_.noteInForce(known.documentVersion);
+    updateRequest_.documentVersion = content.documentVersion;
+    updateRequest_.list = content.list;
+    updateRequest_.documentDigests = std::move(content.documentDigests);
+    updateRequest_.listDigests = std::move(content.listDigests);
+    staleness_.noteInForce(content.documentVersion);
 }
 
-void LedgerClient::tellPresence(bool isReady)
+void LedgerClient::announcePresence(bool isReady)
 {
     watchVoters();
     const Presence presence {parts_.settings.vm, parts_.settings.front.toString(), parts_.settings.failureDomain,
                              isReady};
-    for (const VmName &peer : everyone()) {
+    for (const VmName &peer : knownMembers()) {
         if (const auto client = parts_.peers.client(peer)) {
             client->notify(presence);
         }
--- a/src/gateway/cp_ledger_client.hpp
+++ b/src/gateway/cp_ledger_client.hpp
@@ -16,7 +16,7 @@
 namespace cardamompost
 {
 
-//! A turn's begin at the ledger, from the first try to what a quorum has decided.
+//! The begin of a turn at the ledger, from the first attempt to the quorum's decision.
 class PendingBegin
 {
 public:
@@ -25,7 +25,7 @@
     {
     }
 
-    //! The turn may be sent; nothing may be handed out before isGranted().
+    //! The turn may be sent to a backend server; its output must be held back until isGranted().
     [[nodiscard]] bool isTentative() const
     {
         return isTentative_;
@@ -38,28 +38,28 @@
     {
         return isFinal_ && status_ == TurnBeginStatus::Granted;
     }
-    //! Only once isFinal(); NotLeader when no quorum answered in time.
+    //! Valid once isFinal(); NotLeader when no quorum answered before the deadline.
     [[nodiscard]] TurnBeginStatus status() const
     {
         return status_;
     }
-    //! Inputs and outputs of the turns that are continued; once isTentative().
+    //! Inputs and outputs of the preceding turns; valid once isTentative().
     [[nodiscard]] const std::string &history() const
     {
         return history_;
     }
-    //! The backend server that has a place for the turn; empty when the entry has to choose. Once isTentative().
+    //! The backend server chosen by the leader; empty when the entry has to choose. Valid once isTentative().
     [[nodiscard]] const std::string &backend() const
     {
         return backend_;
     }
-    //! When to come back; once status() is Limited.
+    //! Valid once status() is Limited or Overloaded.
     [[nodiscard]] Milliseconds retryAfter() const
     {
         return retryAfter_;
     }
-    boost::asio::awaitable<void> untilTentative();
-    boost::asio::awaitable<void> untilFinal();
+    boost::asio::awaitable<void> waitUntilTentative();
+    boost::asio::awaitable<void> waitUntilFinal();
 
 private:
     friend class LedgerClient;
@@ -74,7 +74,7 @@
     Milliseconds retryAfter_ {0};
 };
 
-//! An entry's way to the ledger: finds the leader, tries again elsewhere, and takes the news.
+//! An entry's client of the ledger: finds the leader, retries requests and polls for updates.
 class LedgerClient
 {
 public:
@@ -89,41 +89,41 @@
 
     explicit LedgerClient(Parts parts);
 
-    //! Begins to take news; the handler gets every reply of a leader.
-    void start(UpdateHandler onUpdateRequest);
+    //! Starts polling for updates; the handler is called with each reply of a leader.
+    void start(UpdateHandler onUpdate);
     void stop();
 
-    //! \param until  when the caller has no use for a grant any more
-    std::shared_ptr<PendingBegin> begin(TurnBegin begin, TimePoint until);
-    //! True once the end is durable; false when no quorum has confirmed it in time.
-    boost::asio::awaitable<bool> finish(TurnFinish finish, TimePoint until);
-    //! Asks whether a request is within its account's limit; nothing when no leader has answered in time.
-    boost::asio::awaitable<std::optional<AdmitReply>> admit(AdmitRequest request, TimePoint until);
-    //! Says to all members whether this entry takes requests.
-    void tellPresence(bool isReady);
-
-    //! What an entry holds, as the next question for news says it.
-    struct Known {
+    //! \param deadline  when retries end and the begin fails
+    std::shared_ptr<PendingBegin> begin(TurnBegin begin, TimePoint deadline);
+    //! \returns whether a quorum has made the end of the turn durable before the deadline
+    boost::asio::awaitable<bool> finish(TurnFinish finish, TimePoint deadline);
+    //! Checks a request against its account's limit; nothing when no leader has answered before the deadline.
+    boost::asio::awaitable<std::optional<AdmitReply>> admit(AdmitRequest request, TimePoint deadline);
+    //! Announces to all known ledger VMs whether this entry accepts requests.
+    void announcePresence(bool isReady);
+
+    //! The versions that an entry holds, as sent with its next update request.
+    struct HeldContent {
         std::uint64_t documentVersion = 0;
         BackendListVersion list;
         DocumentBuckets::Digests documentDigests;
         BackendBuckets::Digests listDigests;
     };
-    void setKnown(Known known);
-    //! Ledger VMs that are known.
+    void setHeldContent(HeldContent content);
+    //! Number of known ledger VMs.
     [[nodiscard]] std::size_t memberCount() const
     {
-        return everyone().size();
+        return knownMembers().size();
     }
-    //! Time since a leader last answered.
+    //! Time since the last reply of a leader.
     [[nodiscard]] Milliseconds updateAge() const;
-    [[nodiscard]] const DocumentStaleness &lag() const
+    [[nodiscard]] const DocumentStaleness &staleness() const
     {
         return staleness_;
     }
-    //! News come at least twice a second; what is decided by older ones may be wrong by now.
+    //! Updates arrive at least twice a second; beyond this age an entry's data counts as stale.
     static constexpr Milliseconds maxUpdateAge {1000};
-    //! A leader has just said so: the document that this entry goes by is the newest one.
+    //! A recent reply of the leader confirms that the document in force here is the newest.
     [[nodiscard]] bool hasNewestDocument() const
     {
         return updateAge() <= maxUpdateAge && !staleness_.isStale();
@@ -138,79 +138,81 @@
     }
 
 private:
-    struct BeginTry {
+    struct BeginAttempt {
         TurnBegin begin;
-        TimePoint until;
+        TimePoint deadline;
         std::shared_ptr<PendingBegin> pending;
-        //! The leader has said that the turn waits for a place.
+        //! The leader has queued the turn until an engine slot is free.
         bool isQueued = false;
     };
 
-    //! How a request that has one reply is asked again.
+    //! Defines when a request with a single reply is retried.
     template<typename Reply>
-    struct Asking {
+    struct RetryPolicy {
         bool (*isFinal)(const Reply &reply);
-        //! Why the leader is doubted after any other reply.
-        const char *otherwise;
-        //! Null when nobody counts them.
+        //! Reason logged when a reply is not final.
+        const char *failureReason;
+        //! Null when retries aren't counted.
         Counter *retries;
     };
 
-    //! Asks the leader until a reply is final; nothing when none came in time.
+    //! Sends the request to the leader until a reply is final; nothing when none arrived before the deadline.
     template<typename Reply>
-    boost::asio::awaitable<std::optional<Reply>> askLeader(FrameBody request, TimePoint until, Asking<Reply> asking);
-    void sendBegin(const std::shared_ptr<BeginTry> &attempt);
-    void onBeginReply(const std::shared_ptr<BeginTry> &attempt, const VmName &target, Result<FrameBody> reply,
+    boost::asio::awaitable<std::optional<Reply>> requestFromLeader(FrameBody request, TimePoint deadline,
+                                                                   RetryPolicy<Reply> policy);
+    void sendBegin(const std::shared_ptr<BeginAttempt> &attempt);
+    void onBeginReply(const std::shared_ptr<BeginAttempt> &attempt, const VmName &peer, Result<FrameBody> reply,
                       bool isLast);
-    void resendLater(const std::shared_ptr<BeginTry> &attempt);
-    boost::asio::awaitable<void> readUpdates();
+    void resendLater(const std::shared_ptr<BeginAttempt> &attempt);
+    boost::asio::awaitable<void> pollUpdates();
     void applyUpdate(const UpdateReply &update);
-    //! Asks all members at once, again and again, until one says that it leads.
+    //! Queries several ledger VMs at a time until one reports that it is the leader.
     boost::asio::awaitable<void> search();
-    void askWhoLeads(const VmName &peer);
-    //! Says in the logs whom this entry asks while it finds no leader.
+    void queryLeader(const VmName &peer);
+    //! Logs a search that takes long, with the known ledger VMs.
     void logSearch();
-    //! Keeps a question at each voter but the leader that is answered at once when that voter becomes the leader.
+    //! Keeps a pending request at each other voter, which it answers as soon as it becomes the leader.
     void watchVoters();
     void watch(const VmName &peer);
-    void follow(const VmName &peer, const UpdateReply &update);
-    void loseLeader(const VmName &asked, const std::string &reason);
-    //! A request to the leader has no reply in time: it is lost unless it still says that it leads.
-    void suspectLeader(const VmName &asked, const Result<FrameBody> &reply, const std::string &reason);
-    //! Whom to ask next for the leader.
-    [[nodiscard]] std::vector<VmName> nextToAsk();
-    [[nodiscard]] std::set<VmName> everyone() const;
+    void adoptLeader(const VmName &peer, const UpdateReply &update);
+    void dropLeader(const VmName &peer, const std::string &reason);
+    //! Handles a request that the leader did not answer as expected. After a timeout, the leader is kept if it confirms
+    //! that it still leads.
+    void suspectLeader(const VmName &peer, const Result<FrameBody> &reply, const std::string &reason);
+    //! The VMs that the next round of a search queries.
+    [[nodiscard]] std::vector<VmName> nextSearchTargets();
+    [[nodiscard]] std::set<VmName> knownMembers() const;
 
     Parts parts_;
     std::vector<VmName> seeds_;
     std::vector<VmName> members_;
-    //! Members that may come to lead, as the last leader named them.
+    //! The voters, as last reported by a leader.
     std::vector<VmName> voters_;
-    //! Empty while it is searched for.
+    //! Empty during a search.
     VmName leader_;
     Term leaderTerm_ = 0;
     bool isSearching_ = false;
-    //! The leader is being asked whether it still leads.
+    //! A check whether the leader still leads is in flight.
     bool isSuspected_ = false;
-    //! Searches so far; each asks others of those that are many.
+    //! Rounds of searches so far; selects the non-voters to query next.
     std::size_t searches_ = 0;
     TimePoint searchingSince_ {};
     TimePoint lastSearchLog_ {};
-    boost::asio::steady_timer found_;
-    //! Voters with a watch() under way.
+    boost::asio::steady_timer searchTimer_;
+    //! Voters with a pending watch request.
     std::set<VmName> watched_;
-    UpdateRequest known_;
+    UpdateRequest updateRequest_;
     DocumentStaleness staleness_;
-    //! Since when the leader has a newer document or list; nothing when this entry holds the newest.
-    std::optional<TimePoint> lacksSince_;
+    //! When the leader was first known to have a newer document or list; empty while this entry is up to date.
+    std::optional<TimePoint> staleSince_;
     UpdateHandler onUpdate_;
     TimePoint lastUpdate_ {};
     bool isStopped_ = false;
     bool hasLeader_ = false;
     Counter &beginRetries_;
-    Counter &slow_;
-    Counter &lost_;
-    Counter &toldBySuccessor_;
+    Counter &slowLeaders_;
+    Counter &lostLeaders_;
+    Counter &leaderSwitches_;
     Counter &finishRetries_;
 };
 
--- a/src/gateway/cp_ledger_search.cpp
+++ b/src/gateway/cp_ledger_search.cpp
@@ -15,16 +15,16 @@
 {
 
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-// Within it a leader that is busy says that it leads.
-constexpr Milliseconds doubtTimeout {400};
+// Long enough for an overloaded leader to confirm that it leads.
+constexpr Milliseconds leaderCheckTimeout {400};
 constexpr Milliseconds searchTimeout {300};
-// Others than voters that a search asks at a time.
-constexpr std::size_t othersASearch = 8;
+// Non-voters queried in one round of a search.
+constexpr std::size_t nonVotersPerSearch = 8;
 constexpr Milliseconds searchInterval {100};
-// Searches shorter than this are an ordinary change of leader.
-constexpr Milliseconds longSearch {1000};
+// Shorter searches are part of an ordinary leader election.
+constexpr Milliseconds minLoggedSearch {1000};
 constexpr Milliseconds searchLogInterval {2000};
-// How long a member keeps a question for when it will lead, and how much longer its answer may take.
+// How long a voter holds a watch request, and the margin for its reply.
 constexpr Milliseconds watchWait {2000};
 constexpr Milliseconds watchMargin {500};
 
@@ -35,24 +35,24 @@
 
 } // namespace
 
-std::set<VmName> LedgerClient::everyone() const
+std::set<VmName> LedgerClient::knownMembers() const
 {
     std::set<VmName> all(seeds_.begin(), seeds_.end());
     all.insert(members_.begin(), members_.end());
     return all;
 }
 
-void LedgerClient::loseLeader(const VmName &asked, const std::string &reason)
+void LedgerClient::dropLeader(const VmName &peer, const std::string &reason)
 {
-    // What comes late from a VM that was left already says nothing of the one that leads now.
-    if (!leader_.empty() && leader_ != asked) {
+    // A late reply of a former leader doesn't concern the current one.
+    if (!leader_.empty() && leader_ != peer) {
         return;
     }
     leader_.clear();
     if (hasLeader_) {
         hasLeader_ = false;
-        lost_.add();
-        parts_.log.warn("ledger.lost", {{"peer", asked}, {"reason", reason}, {"news_age_ms", updateAge().count()}});
+        lostLeaders_.add();
+        parts_.log.warn("ledger.lost", {{"peer", peer}, {"reason", reason}, {"news_age_ms", updateAge().count()}});
     }
     if (!isSearching_ && !isStopped_) {
         isSearching_ = true;
@@ -63,83 +63,82 @@
 
 asio::awaitable<void> LedgerClient::search()
 {
-    // Everybody is asked at once: one after the other, each that is down would cost its time-out, and all turns wait.
+    // Queries run in parallel, since each unreachable VM would otherwise delay all turns by its timeout.
     while (leader_.empty() && !isStopped_) {
-        for (const VmName &peer : nextToAsk()) {
-            askWhoLeads(peer);
+        for (const VmName &peer : nextSearchTargets()) {
+            queryLeader(peer);
         }
         logSearch();
-        found_.expires_after(searchInterval);
-        co_await found_.async_wait(asTuple);
+        searchTimer_.expires_after(searchInterval);
+        co_await searchTimer_.async_wait(asTuple);
     }
     isSearching_ = false;
 }
 
-std::vector<VmName> LedgerClient::nextToAsk()
+std::vector<VmName> LedgerClient::nextSearchTargets()
 {
-    const std::set<VmName> all = everyone();
+    const std::set<VmName> all = knownMembers();
     std::vector<VmName> others;
-    std::vector<VmName> asked;
+    std::vector<VmName> targets;
     for (const VmName &peer : all) {
         const bool isVoter = std::find(voters_.begin(), voters_.end(), peer) != voters_.end();
-        (isVoter ? asked : others).push_back(peer);
+        (isVoter ? targets : others).push_back(peer);
     }
-    // Guards ledger VMs that are many, and busy, against hundreds of entries that each ask all of them ten times a
-    // second. Voters are asked each time, the others by turns.
-    const std::size_t count = std::min(othersASearch, others.size());
+    // Voters are queried in each round and the others in rotation, which bounds the load from many searching entries.
+    const std::size_t count = std::min(nonVotersPerSearch, others.size());
     for (std::size_t i = 0; i < count; ++i) {
-        asked.push_back(others[(searches_ * othersASearch + i) % others.size()]);
+        targets.push_back(others[(searches_ * nonVotersPerSearch + i) % others.size()]);
     }
     ++searches_;
-    return asked;
+    return targets;
 }
 
-void LedgerClient::suspectLeader(const VmName &asked, const Result<FrameBody> &reply, const std::string &reason)
+void LedgerClient::suspectLeader(const VmName &peer, const Result<FrameBody> &reply, const std::string &reason)
 {
-    const bool isOverdue = !reply && reply.error().kind == ErrorKind::DeadlineExceeded;
-    const auto client = parts_.peers.client(asked);
-    if (!isOverdue || leader_ != asked || !client) {
-        loseLeader(asked, reply ? reason : reply.error().message);
+    const bool isTimeout = !reply && reply.error().kind == ErrorKind::DeadlineExceeded;
+    const auto client = parts_.peers.client(peer);
+    if (!isTimeout || leader_ != peer || !client) {
+        dropLeader(peer, reply ? reason : reply.error().message);
         return;
     }
     if (isSuspected_) {
         return;
     }
-    // Guards a leader that has more to do than it can against entries that all search for it, and make it slower.
+    // Checking first keeps entries from searching when the leader is only overloaded, which would add to its load.
     isSuspected_ = true;
     UpdateRequest request;
     request.wantsContent = false;
-    client->request(request, doubtTimeout, [this, asked](Result<FrameBody> answer, bool) {
+    client->request(request, leaderCheckTimeout, [this, peer](Result<FrameBody> answer, bool) {
         isSuspected_ = false;
         const UpdateReply *update = answer ? std::get_if<UpdateReply>(&answer.value()) : nullptr;
         if (update != nullptr && update->isLeader && update->term >= leaderTerm_) {
-            slow_.add();
+            slowLeaders_.add();
             return;
         }
-        loseLeader(asked, answer ? "it does not lead" : answer.error().message);
+        dropLeader(peer, answer ? "peer is not the leader" : answer.error().message);
     });
 }
 
 void LedgerClient::logSearch()
 {
     const TimePoint now = timeNow();
-    if (now - searchingSince_ < longSearch || now - lastSearchLog_ < searchLogInterval) {
+    if (now - searchingSince_ < minLoggedSearch || now - lastSearchLog_ < searchLogInterval) {
         return;
     }
     lastSearchLog_ = now;
     parts_.log.warn(
         "ledger.searching",
-        {{"for_ms", toMs(now - searchingSince_)}, {"known", fmt::format("{}", fmt::join(everyone(), ","))}});
+        {{"for_ms", toMs(now - searchingSince_)}, {"known", fmt::format("{}", fmt::join(knownMembers(), ","))}});
 }
 
-void LedgerClient::askWhoLeads(const VmName &peer)
+void LedgerClient::queryLeader(const VmName &peer)
 {
     const auto client = parts_.peers.client(peer);
     if (!client) {
         return;
     }
-    // Guards the leader's memory: this is asked ten times a second of all, and a list of thousands of servers in each
-    // answer, to hundreds of entries, ended one leader after the other. The next question gets the news themselves.
+    // Without content, which would exhaust the leader's memory when many entries search. The next update request
+    // fetches it.
     UpdateRequest request;
     request.wantsContent = false;
     client->request(request, searchTimeout, [this, peer](Result<FrameBody> reply, bool) {
@@ -147,17 +146,17 @@
         if (update == nullptr) {
             return;
         }
-        // Guards against a deposed leader that answers first, as one does that is cut off from the other members only:
-        // the leader that replaced it has a higher term, and whichever of the two answers later, that one is kept.
+        // A deposed leader that is cut off from the other members may still answer, even first. The leader with the
+        // higher term is kept, in whichever order the replies arrive.
         const bool isNewer = leader_.empty() ? update->term >= leaderTerm_ : update->term > leaderTerm_;
         if (update->isLeader && isNewer) {
-            follow(peer, *update);
+            adoptLeader(peer, *update);
         }
         if (update->isLeader || !leader_.empty()) {
             return;
         }
-        // Guards an entry that starts while none of its seeds leads: they may have been exchanged, and the leader may
-        // be a VM that it has never heard of. Whoever answers names the members that it knows.
+        // The seeds may have been replaced since, and the leader may be an unknown VM: the reply's members are queried
+        // next.
         members_.insert(members_.end(), update->members.begin(), update->members.end());
         if (!update->leader.empty()) {
             members_.push_back(update->leader);
@@ -165,23 +164,22 @@
     });
 }
 
-void LedgerClient::follow(const VmName &peer, const UpdateReply &update)
+void LedgerClient::adoptLeader(const VmName &peer, const UpdateReply &update)
 {
     const VmName before = std::exchange(leader_, peer);
     applyUpdate(update);
-    found_.cancel();
+    searchTimer_.cancel();
     if (!before.empty() && before != peer) {
-        toldBySuccessor_.add();
-        // Guards the turns that wait for an answer of the leader before, which may be frozen or gone: they are asked
-        // for again at this one now and not after their time-out.
+        leaderSwitches_.add();
+        // Fails requests pending at the former leader, so that they are retried here at once and not after their
+        // timeout.
         parts_.peers.reconnect(before);
     }
 }
 
 void LedgerClient::watchVoters()
 {
-    // Only voters: VMs outside of the group can't come to lead before they are members, which the leader tells, and
-    // where they are dozens, a question at each is most of what passes between failure domains.
+    // Only voters can be elected. Watching all ledger VMs would cause much traffic between failure domains.
     for (const VmName &peer : voters_) {
         if (peer != leader_ && watched_.insert(peer).second) {
             watch(peer);
@@ -200,11 +198,11 @@
     request.wantsContent = false;
     request.waitMs = static_cast<std::uint32_t>(watchWait.count());
     client->request(request, watchWait + watchMargin, [this, peer](Result<FrameBody> reply, bool) {
-        // The next one is sent by watchVoters(), so that a VM that answers at once is not asked in a loop.
+        // watchVoters() sends the next request, so that an immediate reply doesn't cause a busy loop.
         watched_.erase(peer);
         const UpdateReply *update = reply ? std::get_if<UpdateReply>(&reply.value()) : nullptr;
         if (update != nullptr && update->isLeader && update->term > leaderTerm_) {
-            follow(peer, *update);
+            adoptLeader(peer, *update);
         }
     });
 }
