--- a/src/gateway/cp_group_discovery.cpp
+++ b/src/gateway/cp_group_discovery.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-// Changes of members come in threes; a write for each would be a sync for each.
+// Batches successive membership changes into one write.
 constexpr Milliseconds storeDelay {200};
-constexpr Term bookTerm = 1;
+constexpr Term cacheTerm = 1;
 
 std::int64_t wallNowMs()
 {
@@ -59,46 +59,46 @@
 {
     leader_ = group.leader;
     leaderTerm_ = group.term;
-    hinted_.clear();
+    hintedPeers_.clear();
     if (cache_.note(group)) {
-        storeSoon();
+        scheduleStore();
     }
 }
 
 bool GroupDiscovery::noteNotice(const GroupView &group)
 {
-    // Guards against a deposed leader that still calls: the one that replaced it has a higher term.
+    // A notice with a lower term comes from a deposed leader.
     if (group.term < leaderTerm_) {
         return false;
     }
-    const bool isOther = leader_ != group.leader;
+    const bool isNewLeader = leader_ != group.leader;
     leader_ = group.leader;
     leaderTerm_ = group.term;
-    return isOther;
+    return isNewLeader;
 }
 
 void GroupDiscovery::noteHint(const GroupView &group)
 {
     leader_ = group.leader;
-    hinted_ = group.members;
+    hintedPeers_ = group.members;
 }
 
 std::vector<VmName> GroupDiscovery::peers() const
 {
     std::vector<VmName> peers = cache_.peers();
-    peers.insert(peers.end(), hinted_.begin(), hinted_.end());
+    peers.insert(peers.end(), hintedPeers_.begin(), hintedPeers_.end());
     return peers;
 }
 
-void GroupDiscovery::storeSoon()
+void GroupDiscovery::scheduleStore()
 {
-    if (isStoreArmed_) {
+    if (isStoreScheduled_) {
         return;
     }
-    isStoreArmed_ = true;
+    isStoreScheduled_ = true;
     storeTimer_.expires_after(storeDelay);
     storeTimer_.async_wait([this](const boost::system::error_code &error) {
-        isStoreArmed_ = false;
+        isStoreScheduled_ = false;
         if (!error) {
             store();
         }
@@ -110,7 +110,7 @@
     DiskThread::Job job;
     job.group = membershipCacheGroup;
     job.prepare = [revision = ++revision_, bytes = cache_.encode(wallNowMs())](LogStore & /*store*/, LogBatch &batch) {
-        batch.putSnapshot(membershipCacheGroup, {revision, bookTerm, {}, bytes});
+        batch.putSnapshot(membershipCacheGroup, {revision, cacheTerm, {}, bytes});
     };
     job.finish = [&log = parts_.log, term = cache_.last().term](const Result<void> &written) {
         log.info("ledger.way_stored", {{"term", term}, {"stored", written.has_value()}});
--- a/src/gateway/cp_group_discovery.hpp
+++ b/src/gateway/cp_group_discovery.hpp
@@ -11,10 +11,11 @@
 namespace cardamompost
 {
 
-//! A ledger VM's way to the group's leader: who was told of since the start, and the book of it on the disk.
+//! Finds the group's leader for a ledger VM, from replies received since the start and from the membership cache on
+//! disk.
 //!
-//! Nothing of it is obeyed. What the book remembers is only asked, and a leader counts as known only once it, or
-//! somebody who runs, has named it since this process began. Thread-safety: none; the io_context's thread.
+//! The cache only names VMs to query: a leader counts as known once a running VM has reported it to this process.
+//! Thread-safety: none; runs on the io_context's thread.
 class GroupDiscovery
 {
 public:
@@ -26,43 +27,44 @@
 
     explicit GroupDiscovery(Parts parts);
 
-    //! Reads the book. Only before the disk's thread runs. A book that can't be read is left aside: seeds are left.
+    //! Reads the stored cache; call it before the disk thread starts. An unreadable cache is ignored, which leaves the
+    //! seeds.
     void open(LogStore &store);
     void stop();
 
-    //! A leader that its quorum has just confirmed told of itself.
+    //! Records the view of a leader that its quorum has just confirmed.
     void noteConfirmed(const GroupView &group);
-    //! A leader that nobody has confirmed told of itself. \returns true when it is another than the one known
+    //! Records the notice of an unconfirmed leader. \returns true when it differs from the known one
     bool noteNotice(const GroupView &group);
-    //! Somebody else, asked for the leader, answered this; it may know none.
+    //! Records the view of a VM that isn't a confirmed leader; its leader may be empty.
     void noteHint(const GroupView &group);
     void forgetLeader()
     {
         leader_.clear();
     }
 
-    //! The leader that was named last since the start; empty while none is known.
+    //! The leader last reported since the start; empty while none is known.
     [[nodiscard]] const VmName &leader() const
     {
         return leader_;
     }
-    //! VMs that may know the leader, from the book and from answers since the start.
+    //! VMs that may know the leader, from the cache and from replies since the start.
     [[nodiscard]] std::vector<VmName> peers() const;
 
 private:
-    void storeSoon();
+    void scheduleStore();
     void store();
 
     Parts parts_;
     MembershipCache cache_;
-    //! Of the book on the disk.
+    //! Revision of the stored cache.
     LogIndex revision_ = 0;
     boost::asio::steady_timer storeTimer_;
-    bool isStoreArmed_ = false;
+    bool isStoreScheduled_ = false;
     VmName leader_;
     Term leaderTerm_ = 0;
-    //! Named by others as members, and not by a confirmed leader.
-    std::vector<VmName> hinted_;
+    //! Members reported by a VM that isn't a confirmed leader.
+    std::vector<VmName> hintedPeers_;
 };
 
 } // namespace cardamompost
--- a/src/gateway/cp_ledger_api.cpp
+++ b/src/gateway/cp_ledger_api.cpp
@@ -14,14 +14,14 @@
 namespace
 {
 
-using OrderResult = LedgerService::OrderResult;
+using OperationResult = LedgerService::OperationResult;
 
 constexpr unsigned statusRedirect = 307;
 constexpr unsigned statusInvalid = 400;
 constexpr unsigned statusWrongMethod = 405;
 constexpr unsigned statusConflict = 409;
 constexpr std::uint64_t maxDocumentBytes = 32U << 20U;
-constexpr std::string_view notSure = "no member can be sure now";
+constexpr std::string_view notConfirmed = "leadership can't be confirmed at present";
 
 HttpLimits controlLimits()
 {
@@ -69,7 +69,7 @@
 
 asio::awaitable<HttpResponse> LedgerApi::putDocument(HttpRequest &request)
 {
-    // What is invalid is refused by every member, whatever its version, and before anybody is asked.
+    // Every member validates the document itself, so that an invalid one is rejected without a redirect.
     Result<RouteDocument> document = parts_.adapter.readDocument(request.body);
     const Result<void> checked = document ? checkRouteDocument(document.value()) : Result<void>(document.error());
     if (!checked) {
@@ -77,71 +77,71 @@
         co_return failureResponse(statusInvalid, checked.error().message);
     }
     const std::uint64_t version = document.value().version;
-    auto put = [this, version, body = std::move(request.body)](std::function<void(OrderResult)> done) mutable {
+    auto put = [this, version, body = std::move(request.body)](std::function<void(OperationResult)> done) mutable {
         parts_.service.putDocument(version, std::move(body), std::move(done));
     };
-    const OrderResult result = co_await awaitCallback<OrderResult>(std::move(put));
+    const OperationResult result = co_await awaitCallback<OperationResult>(std::move(put));
     parts_.log.info("document.put",
                     {{"version", version},
                      {"result", static_cast<int>(result)},
                      {"in_force", parts_.service.state().documentVersion()}});
-    co_return answer(result, request, "{}");
+    co_return makeResponse(result, request, "{}");
 }
 
 asio::awaitable<HttpResponse> LedgerApi::getDocument(const HttpRequest &request)
 {
-    auto confirm = [this](std::function<void(OrderResult)> done) { parts_.service.confirm(std::move(done)); };
-    const OrderResult result = co_await awaitCallback<OrderResult>(std::move(confirm));
-    if (result == OrderResult::Done && parts_.service.state().document().empty()) {
-        co_return unavailableResponse(notSure);
+    auto confirm = [this](std::function<void(OperationResult)> done) { parts_.service.confirm(std::move(done)); };
+    const OperationResult result = co_await awaitCallback<OperationResult>(std::move(confirm));
+    if (result == OperationResult::Done && parts_.service.state().document().empty()) {
+        co_return unavailableResponse(notConfirmed);
     }
-    co_return answer(result, request, parts_.service.state().document());
+    co_return makeResponse(result, request, parts_.service.state().document());
 }
 
 asio::awaitable<HttpResponse> LedgerApi::retire(const HttpRequest &request)
 {
     const VmName vm = request.path.substr(parts_.adapter.paths().retire.size());
-    const bool isOrder = request.method == "POST";
-    if (!isOrder && request.method != "GET") {
+    const bool isPost = request.method == "POST";
+    if (!isPost && request.method != "GET") {
         co_return failureResponse(statusWrongMethod, "POST and GET only");
     }
-    auto ask = [this, vm, isOrder](std::function<void(OrderResult)> done) {
-        if (isOrder) {
+    auto operation = [this, vm, isPost](std::function<void(OperationResult)> done) {
+        if (isPost) {
             parts_.service.retire(vm, std::move(done));
         } else {
             parts_.service.retirement(vm, std::move(done));
         }
     };
-    const OrderResult result = co_await awaitCallback<OrderResult>(std::move(ask));
-    const bool isCompleted = !isOrder && result == OrderResult::Done;
-    co_return answer(result, request, parts_.adapter.writeRetirement(isCompleted));
+    const OperationResult result = co_await awaitCallback<OperationResult>(std::move(operation));
+    const bool isCompleted = !isPost && result == OperationResult::Done;
+    co_return makeResponse(result, request, parts_.adapter.writeRetirement(isCompleted));
 }
 
-HttpResponse LedgerApi::answer(OrderResult result, const HttpRequest &request, std::string body) const
+HttpResponse LedgerApi::makeResponse(OperationResult result, const HttpRequest &request, std::string body) const
 {
     switch (result) {
-    case OrderResult::Done:
-    case OrderResult::Running:
+    case OperationResult::Done:
+    case OperationResult::Running:
         return jsonResponse(statusOk, std::move(body));
-    case OrderResult::NotFound:
+    case OperationResult::NotFound:
         return failureResponse(statusNotFound, "no such VM");
-    case OrderResult::TooFewLeft:
-        return failureResponse(statusConflict, "too few VMs would be left");
-    case OrderResult::NotLeader:
+    case OperationResult::NotEnoughVms:
+        return failureResponse(statusConflict, "not enough live VMs would remain");
+    case OperationResult::NotLeader:
         return redirect(request);
-    case OrderResult::Unknown:
+    case OperationResult::Unknown:
         break;
     }
-    return unavailableResponse(notSure);
+    return unavailableResponse(notConfirmed);
 }
 
 HttpResponse LedgerApi::redirect(const HttpRequest &request) const
 {
     const std::optional<Address> leader = parseAddress(parts_.service.leader());
     if (!leader || *leader == parts_.settings.peer) {
-        return unavailableResponse(notSure);
+        return unavailableResponse(notConfirmed);
     }
-    HttpResponse response = failureResponse(statusRedirect, "another member leads");
+    HttpResponse response = failureResponse(statusRedirect, "another member is the leader");
     const Address control {leader->host, parts_.settings.control.port};
     response.headers["Location"] = fmt::format("http://{}{}", control.toString(), request.path);
     return response;
--- a/src/gateway/cp_ledger_api.hpp
+++ b/src/gateway/cp_ledger_api.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! What a ledger VM answers to operators' orders over HTTP.
+//! Serves the operators' HTTP interface of a ledger VM: the route document and the retirement of VMs.
 class LedgerApi
 {
 public:
@@ -24,7 +24,7 @@
 
     explicit LedgerApi(Parts parts);
 
-    //! Errors: InvalidConfiguration when an address can't be used.
+    //! Errors: InvalidConfiguration when the control address can't be used.
     Result<void> listen();
     void stop();
 
@@ -33,8 +33,8 @@
     boost::asio::awaitable<HttpResponse> putDocument(HttpRequest &request);
     boost::asio::awaitable<HttpResponse> getDocument(const HttpRequest &request);
     boost::asio::awaitable<HttpResponse> retire(const HttpRequest &request);
-    [[nodiscard]] HttpResponse answer(LedgerService::OrderResult result, const HttpRequest &request,
-                                      std::string body) const;
+    [[nodiscard]] HttpResponse makeResponse(LedgerService::OperationResult result, const HttpRequest &request,
+                                            std::string body) const;
     [[nodiscard]] HttpResponse redirect(const HttpRequest &request) const;
 
     Parts parts_;
--- a/src/gateway/cp_ledger_begins.cpp
+++ b/src/gateway/cp_ledger_begins.cpp
@@ -6,15 +6,15 @@
 namespace
 {
 
-// As long as an entry leaves out a server that it could not reach.
-constexpr Milliseconds avoidFor {1000};
-// Begins that wait for so long that no quorum has decided mean overload. Entries give a turn up after 1.75 s.
-constexpr Milliseconds longestDelayForNew {600};
-constexpr Milliseconds longestDelayUnderWay {1200};
-constexpr Milliseconds soonestReturn {300};
-constexpr Milliseconds returnSpread {600};
-constexpr Milliseconds leasePoll {10};
-// Shorter than an entry waits for a reply.
+// Matches how long an entry ejects a server that it could not reach.
+constexpr Milliseconds unreachableEjectionTime {1000};
+// Commit delays from which the ledger is overloaded; below the time after which entries give up on a turn.
+constexpr Milliseconds maxCommitDelayNew {600};
+constexpr Milliseconds maxCommitDelayInProgress {1200};
+constexpr Milliseconds minRetryAfter {300};
+constexpr Milliseconds retryAfterJitter {600};
+constexpr Milliseconds leasePollInterval {10};
+// Shorter than an entry's request timeout.
 constexpr Milliseconds leaseTimeout {300};
 
 } // namespace
@@ -37,14 +37,14 @@
         replier->reply(TurnBeginReply {TurnBeginStatus::NotLeader, driver_.leader(), {}, {}});
         return;
     }
-    if (const auto under = begins_.find(begin.turn); under != begins_.end()) {
-        askAgain(*under->second, replier);
+    if (const auto found = activeBegins_.find(begin.turn); found != activeBegins_.end()) {
+        onRepeatedBegin(*found->second, replier);
         return;
     }
-    offerDocument();
+    publishDocument();
     const auto pending = pendingTokens_.find(begin.program);
-    const std::int64_t taken = pending == pendingTokens_.end() ? 0 : pending->second;
-    const TurnBeginStatus status = state_.check(begin, taken);
+    const std::int64_t uncommittedTokens = pending == pendingTokens_.end() ? 0 : pending->second;
+    const TurnBeginStatus status = state_.check(begin, uncommittedTokens);
     if (status == TurnBeginStatus::NoSuchTurn) {
         confirmNoSuchTurn(begin, replier);
         return;
@@ -55,32 +55,33 @@
     }
     const TimePoint now = std::chrono::steady_clock::now();
     if (isOverloaded(begin, now)) {
-        // Spread, so that those that are refused together do not come back together.
-        const auto spread = static_cast<std::uint32_t>(randomIdentity() % returnSpread.count());
-        const auto retryAfter = static_cast<std::uint32_t>(soonestReturn.count()) + spread;
+        // Jitter keeps rejected requests from being retried all at once.
+        const auto jitter = static_cast<std::uint32_t>(randomIdentity() % retryAfterJitter.count());
+        const auto retryAfter = static_cast<std::uint32_t>(minRetryAfter.count()) + jitter;
         overloaded_.add();
         replier->reply(TurnBeginReply {TurnBeginStatus::Overloaded, self_, {}, {}, retryAfter});
         return;
     }
-    const auto begun = std::make_shared<Begin>(Begin {std::move(begin), replier, now, {}, {}, false, std::nullopt});
-    begins_.emplace(begun->begin.turn, begun);
-    limitBegin(begun);
+    const auto active
+        = std::make_shared<ActiveBegin>(ActiveBegin {std::move(begin), replier, now, {}, {}, false, std::nullopt});
+    activeBegins_.emplace(active->begin.turn, active);
+    applyAccountLimit(active);
 }
 
-void LedgerService::askAgain(Begin &begun, const Replier &replier)
+void LedgerService::onRepeatedBegin(ActiveBegin &active, const Replier &replier)
 {
-    begun.replier = replier;
-    if (begun.isPlaced) {
-        replier->reply(TurnBeginReply {TurnBeginStatus::Tentative, self_, begun.history, begun.backend}, false);
+    active.replier = replier;
+    if (active.isPlaced) {
+        replier->reply(TurnBeginReply {TurnBeginStatus::Tentative, self_, active.history, active.backend}, false);
     } else {
         replier->reply(TurnBeginReply {TurnBeginStatus::Queued, self_, {}, {}}, false);
     }
 }
 
-void LedgerService::endBegin(Begin &begun, TurnBeginReply reply)
+void LedgerService::completeBegin(ActiveBegin &active, TurnBeginReply reply)
 {
-    begins_.erase(begun.begin.turn);
-    begun.replier->reply(std::move(reply));
+    activeBegins_.erase(active.begin.turn);
+    active.replier->reply(std::move(reply));
 }
 
 Milliseconds LedgerService::commitDelay(TimePoint now)
@@ -94,59 +95,59 @@
 
 bool LedgerService::isOverloaded(const TurnBegin &begin, TimePoint now)
 {
-    // Guards the ledger against more turns than it can write: begun all the same, they would all be granted too late,
-    // after they have run. Programs under way are taken for longer than new ones.
-    return commitDelay(now) >= (isInProgress(begin) ? longestDelayUnderWay : longestDelayForNew);
+    // Sheds load that the ledger can't commit in time. Programs in progress are admitted for longer than new ones.
+    return commitDelay(now) >= (isInProgress(begin) ? maxCommitDelayInProgress : maxCommitDelayNew);
 }
 
-void LedgerService::limitBegin(const std::shared_ptr<Begin> &begun)
+void LedgerService::applyAccountLimit(const std::shared_ptr<ActiveBegin> &active)
 {
-    const TurnBegin &begin = begun->begin;
+    const TurnBegin &begin = active->begin;
     if (begin.account.empty() || state_.isReserved(begin.program, begin.turn)) {
-        readHistory(begun);
+        readHistory(active);
         return;
     }
-    mayAdmit(begin.account, begun->since + leaseTimeout, [this, begun](bool hasLease) {
+    awaitAdmissionLease(begin.account, active->since + leaseTimeout, [this, active](bool hasLease) {
         if (!hasLease) {
-            endBegin(*begun, TurnBeginReply {TurnBeginStatus::NotLeader, driver_.leader(), {}, {}});
+            completeBegin(*active, TurnBeginReply {TurnBeginStatus::NotLeader, driver_.leader(), {}, {}});
             return;
         }
-        const TurnBegin &turn = begun->begin;
+        const TurnBegin &turn = active->begin;
         const RequestLimiter::Decision decision
             = limiter_.admit({turn.account, turn.turn, !isInProgress(turn)}, std::chrono::steady_clock::now());
         if (decision.isAdmitted) {
             reportUsage();
-            after(decision.delay, [this, begun] { readHistory(begun); });
+            runAfter(decision.delay, [this, active] { readHistory(active); });
             return;
         }
-        noteLimited(turn.account, turn.turn, decision);
+        recordLimited(turn.account, turn.turn, decision);
         const auto retryAfter = static_cast<std::uint32_t>(decision.retryAfter.count());
-        endBegin(*begun, TurnBeginReply {TurnBeginStatus::Limited, self_, {}, {}, retryAfter});
+        completeBegin(*active, TurnBeginReply {TurnBeginStatus::Limited, self_, {}, {}, retryAfter});
     });
 }
 
 void LedgerService::onAdmit(const AdmitRequest &request, const Replier &replier)
 {
-    offerDocument();
-    mayAdmit(request.account, std::chrono::steady_clock::now() + leaseTimeout, [this, request, replier](bool hasLease) {
-        if (!hasLease) {
-            replier->reply(AdmitReply {AdmitStatus::NotLeader, 0});
-            return;
-        }
-        const RequestLimiter::Decision decision
-            = limiter_.admit({request.account, request.request, false}, std::chrono::steady_clock::now());
-        if (decision.isAdmitted) {
-            reportUsage();
-            after(decision.delay, [replier] { replier->reply(AdmitReply {AdmitStatus::Admitted, 0}); });
-            return;
-        }
-        noteLimited(request.account, request.request, decision);
-        replier->reply(AdmitReply {AdmitStatus::Limited, static_cast<std::uint32_t>(decision.retryAfter.count())});
-    });
+    publishDocument();
+    awaitAdmissionLease(
+        request.account, std::chrono::steady_clock::now() + leaseTimeout, [this, request, replier](bool hasLease) {
+            if (!hasLease) {
+                replier->reply(AdmitReply {AdmitStatus::NotLeader, 0});
+                return;
+            }
+            const RequestLimiter::Decision decision
+                = limiter_.admit({request.account, request.request, false}, std::chrono::steady_clock::now());
+            if (decision.isAdmitted) {
+                reportUsage();
+                runAfter(decision.delay, [replier] { replier->reply(AdmitReply {AdmitStatus::Admitted, 0}); });
+                return;
+            }
+            recordLimited(request.account, request.request, decision);
+            replier->reply(AdmitReply {AdmitStatus::Limited, static_cast<std::uint32_t>(decision.retryAfter.count())});
+        });
 }
 
-void LedgerService::noteLimited(const std::string &account, const std::string &id,
-                                const RequestLimiter::Decision &decision)
+void LedgerService::recordLimited(const std::string &account, const std::string &id,
+                                  const RequestLimiter::Decision &decision)
 {
     limited_.add();
     parts_.log.info("request.limited",
@@ -156,23 +157,24 @@
                      {"retry_after_ms", decision.retryAfter.count()},
                      {"per_second", limiter_.limitOf(account).perSecond},
                      {"burst", limiter_.limitOf(account).burst},
-                     {"document", triedVersion_}});
+                     {"document", lastReadVersion_}});
 }
 
-void LedgerService::mayAdmit(const std::string &account, TimePoint until, std::function<void(bool)> work)
+void LedgerService::awaitAdmissionLease(const std::string &account, TimePoint deadline, std::function<void(bool)> done)
 {
-    // Guards limits against a leader that is cut off and admits requests while its successor does so too, or that is
-    // lost with all that it has just admitted.
+    // The lease keeps a partitioned leader from admitting requests while its successor does too. The usage report keeps
+    // admitted requests counted after a failover.
     const bool hasLease = driver_.hasLease() && !limiter_.waitsForReport(account);
-    if (hasLease || !leads() || std::chrono::steady_clock::now() >= until) {
-        work(hasLease);
+    if (hasLease || !leads() || std::chrono::steady_clock::now() >= deadline) {
+        done(hasLease);
         return;
     }
-    after(leasePoll,
-          [this, account, until, work = std::move(work)]() mutable { mayAdmit(account, until, std::move(work)); });
+    runAfter(leasePollInterval, [this, account, deadline, done = std::move(done)]() mutable {
+        awaitAdmissionLease(account, deadline, std::move(done));
+    });
 }
 
-void LedgerService::after(Milliseconds delay, std::function<void()> work)
+void LedgerService::runAfter(Milliseconds delay, std::function<void()> work)
 {
     if (delay.count() <= 0) {
         work();
@@ -182,21 +184,20 @@
     timer->async_wait([timer, work = std::move(work)](const boost::system::error_code &) { work(); });
 }
 
-void LedgerService::readHistory(const std::shared_ptr<Begin> &begun)
+void LedgerService::readHistory(const std::shared_ptr<ActiveBegin> &active)
 {
-    if (begun->begin.previous.empty()) {
-        startBegin(begun);
+    if (active->begin.previous.empty()) {
+        startBegin(active);
         return;
     }
-    texts_.read(state_.history(begun->begin.previous), [this, begun](std::optional<std::string> history) {
-        // Guards against a turn without a part of its history, and against one that is refused as unknown although
-        // it is only out of reach for now: the entry asks again until the caller has waited long enough.
+    texts_.read(state_.history(active->begin.previous), [this, active](std::optional<std::string> history) {
+        // An unavailable history is reported as retryable, and not as an unknown turn.
         if (!history || !leads()) {
-            endBegin(*begun, TurnBeginReply {TurnBeginStatus::NotLeader, driver_.leader(), {}, {}});
+            completeBegin(*active, TurnBeginReply {TurnBeginStatus::NotLeader, driver_.leader(), {}, {}});
             return;
         }
-        begun->history = std::move(*history);
-        startBegin(begun);
+        active->history = std::move(*history);
+        startBegin(active);
     });
 }
 
@@ -205,22 +206,22 @@
     return !begin.previous.empty() || state_.spent(begin.program) != 0 || state_.reserved(begin.program) != 0;
 }
 
-void LedgerService::startBegin(const std::shared_ptr<Begin> &begun)
+void LedgerService::startBegin(const std::shared_ptr<ActiveBegin> &active)
 {
-    placeBegin(begun);
-    if (!begun->isPlaced) {
-        begun->replier->reply(TurnBeginReply {TurnBeginStatus::Queued, self_, {}, {}}, false);
+    requestPlacement(active);
+    if (!active->isPlaced) {
+        active->replier->reply(TurnBeginReply {TurnBeginStatus::Queued, self_, {}, {}}, false);
     }
-    commitBegin(begun);
+    commitBegin(active);
 }
 
-void LedgerService::placeBegin(const std::shared_ptr<Begin> &begun)
+void LedgerService::requestPlacement(const std::shared_ptr<ActiveBegin> &active)
 {
-    const TurnBegin &begin = begun->begin;
+    const TurnBegin &begin = active->begin;
     const PlacementRequest &placement = begin.placement;
     const TimePoint now = std::chrono::steady_clock::now();
     for (const std::string &server : placement.unreachable) {
-        placement_.avoid(server, now + avoidFor);
+        placement_.avoid(server, now + unreachableEjectionTime);
     }
     TurnToPlace turn {begin.turn,
                       begin.program,
@@ -232,29 +233,30 @@
                       Milliseconds(placement.timeLeftMs)};
     turn.isInProgress = isInProgress(begin);
     turn.isLate = placement.programTimeLeftMs < 0;
-    placement_.request(std::move(turn), now, [this, begun](const std::string &backend) { onPlaced(*begun, backend); });
+    placement_.request(std::move(turn), now,
+                       [this, active](const std::string &backend) { onPlaced(*active, backend); });
 }
 
-void LedgerService::onPlaced(Begin &begun, const std::string &backend)
+void LedgerService::onPlaced(ActiveBegin &active, const std::string &backend)
 {
-    begun.isPlaced = true;
-    begun.backend = backend;
-    placeSeconds_.observe(std::chrono::duration<double>(std::chrono::steady_clock::now() - begun.since).count());
-    begun.replier->reply(TurnBeginReply {TurnBeginStatus::Tentative, self_, begun.history, backend}, false);
-    if (begun.decided) {
-        onDecided(begun, *begun.decided);
+    active.isPlaced = true;
+    active.backend = backend;
+    placementSeconds_.observe(std::chrono::duration<double>(std::chrono::steady_clock::now() - active.since).count());
+    active.replier->reply(TurnBeginReply {TurnBeginStatus::Tentative, self_, active.history, backend}, false);
+    if (active.decided) {
+        onDecided(active, *active.decided);
     }
 }
 
-void LedgerService::onDecided(Begin &begun, TurnBeginStatus status)
+void LedgerService::onDecided(ActiveBegin &active, TurnBeginStatus status)
 {
-    begun.decided = status;
-    // What is granted waits for its place; what is refused is told at once.
-    if (begun.isPlaced || status != TurnBeginStatus::Granted) {
-        endBegin(begun, TurnBeginReply {status, driver_.leader(), {}, {}});
+    active.decided = status;
+    // A granted begin waits for its placement; a rejected one is answered at once.
+    if (active.isPlaced || status != TurnBeginStatus::Granted) {
+        completeBegin(active, TurnBeginReply {status, driver_.leader(), {}, {}});
     }
     if (status != TurnBeginStatus::Granted) {
-        placement_.release(begun.begin.turn, std::chrono::steady_clock::now());
+        placement_.release(active.begin.turn, std::chrono::steady_clock::now());
     }
 }
 
@@ -280,34 +282,34 @@
 
 void LedgerService::confirmNoSuchTurn(const TurnBegin &begin, const Replier &replier)
 {
-    // Guards against a deposed leader that tells a caller there is no such turn: the one that leads now may hold it.
-    // Only what a quorum confirms is told as final. A spent budget needs no such round: nobody runs the turn that is
-    // refused, and what a deposed leader does not know can only have been spent besides, or given back a moment ago.
+    // A deposed leader may lack a turn that its successor holds, so that NoSuchTurn is final only once a quorum
+    // confirms the read. An exhausted budget needs no confirmation: a stale leader can only underestimate what was
+    // spent, or miss tokens that were released a moment ago.
     driver_.confirmRead([this, begin, replier](bool isConfirmed) {
-        const bool isStill = isConfirmed && state_.check(begin, 0) == TurnBeginStatus::NoSuchTurn;
-        refuse(begin, isStill ? TurnBeginStatus::NoSuchTurn : TurnBeginStatus::NotLeader, isConfirmed, replier);
+        const bool isStillUnknown = isConfirmed && state_.check(begin, 0) == TurnBeginStatus::NoSuchTurn;
+        refuse(begin, isStillUnknown ? TurnBeginStatus::NoSuchTurn : TurnBeginStatus::NotLeader, isConfirmed, replier);
     });
 }
 
-void LedgerService::commitBegin(const std::shared_ptr<Begin> &begun)
+void LedgerService::commitBegin(const std::shared_ptr<ActiveBegin> &active)
 {
-    if (state_.isReserved(begun->begin.program, begun->begin.turn)) {
-        // Asked again, as while it waits for a place: what is applied here is on a quorum's disks already.
-        onDecided(*begun, TurnBeginStatus::Granted);
+    if (state_.isReserved(active->begin.program, active->begin.turn)) {
+        // A retried begin: an applied reservation is already durable on a quorum.
+        onDecided(*active, TurnBeginStatus::Granted);
         return;
     }
-    pendingTokens_[begun->begin.program] += begun->begin.tokensAtMost;
-    TurnBegin kept = begun->begin;
-    kept.placement = {};
-    kept.account.clear();
-    proposed_.emplace_back(std::chrono::steady_clock::now(), begun);
-    propose(std::move(kept), [this, begun](bool isCommitted) {
-        const auto pending = pendingTokens_.find(begun->begin.program);
-        pending->second -= begun->begin.tokensAtMost;
+    pendingTokens_[active->begin.program] += active->begin.tokensAtMost;
+    TurnBegin record = active->begin;
+    record.placement = {};
+    record.account.clear();
+    proposed_.emplace_back(std::chrono::steady_clock::now(), active);
+    propose(std::move(record), [this, active](bool isCommitted) {
+        const auto pending = pendingTokens_.find(active->begin.program);
+        pending->second -= active->begin.tokensAtMost;
         if (pending->second == 0) {
             pendingTokens_.erase(pending);
         }
-        onDecided(*begun, isCommitted ? lastApplied_ : TurnBeginStatus::NotLeader);
+        onDecided(*active, isCommitted ? lastApplied_ : TurnBeginStatus::NotLeader);
     });
 }
 
@@ -319,18 +321,18 @@
     }
     placement_.release(finish.turn, std::chrono::steady_clock::now());
     const std::string turn = finish.turn;
-    // Asked again after the reply was lost: what is applied here is on a quorum's disks.
-    const bool isDone = finish.isKept && state_.hasTurn(turn);
-    // A turn that was refused holds no reservation, and none is under way: a leader has applied what those before it
-    // committed. Nothing is written for it, as it may have been refused for want of room.
-    const bool holdsNothing
-        = finish.ending == TurnEnding::NotRun && !state_.isReserved(finish.program, turn) && !begins_.contains(turn);
-    if (isDone || holdsNothing) {
+    // A retried finish: an applied turn is already durable on a quorum.
+    const bool isRecorded = finish.isKept && state_.hasTurn(turn);
+    // A rejected turn holds no reservation, and a leader has applied all entries committed by its predecessors. Nothing
+    // is written for it, since it may have been rejected because of overload.
+    const bool hasNothingToRelease = finish.ending == TurnEnding::NotRun && !state_.isReserved(finish.program, turn)
+        && !activeBegins_.contains(turn);
+    if (isRecorded || hasNothingToRelease) {
         replier->reply(TurnFinishReply {true, self_});
         return;
     }
     if (const auto [waiting, isNew] = finishes_.try_emplace(turn, replier); !isNew) {
-        // Asked again while it is proposed.
+        // A retry while the command is proposed: only the latest request is answered.
         waiting->second = replier;
         return;
     }
--- a/src/gateway/cp_ledger_members.cpp
+++ b/src/gateway/cp_ledger_members.cpp
@@ -9,22 +9,22 @@
 {
 
 constexpr Milliseconds joinInterval {500};
-// A VM without a copy asks more often: until it has one, the next loss may be one too many.
-constexpr Milliseconds blankJoinInterval {120};
+// Shorter for a VM without data, which reduces redundancy until it has joined.
+constexpr Milliseconds uninitializedJoinInterval {120};
 constexpr Milliseconds joinTimeout {400};
 constexpr Milliseconds planInterval {200};
-// Often enough that a lost message makes nobody dark (PresenceTable::unreachableAfter).
-constexpr Milliseconds tellInterval {250};
-// A member that was silent for so long may be replaced, if there is another VM to take its place.
-constexpr Milliseconds lostAfter {1500};
-// A VM outside the group counts as live when it has asked to join within this time.
-constexpr Milliseconds joinFreshFor {2500};
-// A new leader has not heard from anybody yet; it judges nobody before this.
-constexpr Milliseconds settlingTime {2000};
-// A VM that asks every joinInterval and was not heard for so long does not know this leader.
-constexpr Milliseconds callAfter {1200};
-// Searches shorter than this are an ordinary change of leader.
-constexpr Milliseconds longSearch {1000};
+// Short enough that one lost message doesn't exceed PresenceTable::unreachableAfter.
+constexpr Milliseconds presenceInterval {250};
+// A member silent for this long may be replaced by another VM.
+constexpr Milliseconds memberLossTimeout {1500};
+// A VM outside the group counts as live if its last join request is at most this old.
+constexpr Milliseconds joinRequestMaxAge {2500};
+// A new leader waits for this long before it changes the membership, so that members have time to contact it.
+constexpr Milliseconds membershipGracePeriod {2000};
+// A VM that has sent no join request for this long, although it sends one every joinInterval, doesn't know this leader.
+constexpr Milliseconds silentPeerTimeout {1200};
+// Shorter searches are part of an ordinary leader election.
+constexpr Milliseconds minLoggedSearch {1000};
 constexpr Milliseconds searchLogInterval {2000};
 
 } // namespace
@@ -50,7 +50,7 @@
     }
     const Membership &members = driver_.node().membership();
     const VmName leader = driver_.leader();
-    // A learner may lack the same as this member.
+    // Learners are excluded: they may lack the same data as this member.
     for (const VmName &voter : members.voters) {
         if (voter != self_ && voter != leader) {
             others.push_back(voter);
@@ -62,18 +62,18 @@
     return others;
 }
 
-void LedgerService::keepJoining()
+void LedgerService::joinPeriodically()
 {
-    askToJoin();
-    joinTimer_.expires_after(driver_.isStarted() ? joinInterval : blankJoinInterval);
+    requestJoin();
+    joinTimer_.expires_after(driver_.isStarted() ? joinInterval : uninitializedJoinInterval);
     joinTimer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            keepJoining();
+            joinPeriodically();
         }
     });
 }
 
-void LedgerService::keepTelling()
+void LedgerService::announcePeriodically()
 {
     const Presence presence {parts_.settings.vm, parts_.settings.directory.toString(), parts_.settings.failureDomain,
                              false, true};
@@ -88,10 +88,10 @@
         }
     }
     notifySilentPeers();
-    tellTimer_.expires_after(tellInterval);
-    tellTimer_.async_wait([this](const boost::system::error_code &error) {
+    presenceTimer_.expires_after(presenceInterval);
+    presenceTimer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            keepTelling();
+            announcePeriodically();
         }
     });
 }
@@ -101,10 +101,8 @@
     if (!leads()) {
         return;
     }
-    // Guards against a leader that nobody finds. After everything was off, VMs outside of the group know seeds that may
-    // be blank or strangers to the group, and entries know nobody else: all of them ask, and no one asked knows a
-    // member. The leader's table has the address of whoever once asked it, and its own settings name the seeds that
-    // strangers ask first; so it tells those of them that do not ask it.
+    // After a full outage, VMs outside the group and entries may know only seeds that aren't members. The leader knows
+    // their addresses from its table and its settings, and notifies those that send it no join requests.
     const TimePoint now = std::chrono::steady_clock::now();
     const LeaderNotice notice {groupView()};
     const std::vector<VmName> peers = knownPeers();
@@ -115,7 +113,7 @@
     known.erase(self_);
     for (const VmName &peer : known) {
         const auto requester = joinRequesters_.find(peer);
-        const bool isSilent = requester == joinRequesters_.end() || now - requester->second.at > callAfter;
+        const bool isSilent = requester == joinRequesters_.end() || now - requester->second.at > silentPeerTimeout;
         const auto client = isSilent ? parts_.peers.client(peer) : nullptr;
         if (client) {
             client->notify(notice);
@@ -125,10 +123,10 @@
 
 void LedgerService::onLeaderNotice(const LeaderNotice &notice)
 {
-    const bool isNews = discovery_.noteNotice(notice.group);
-    if (isNews && driver_.leader().empty()) {
+    const bool isNewLeader = discovery_.noteNotice(notice.group);
+    if (isNewLeader && driver_.leader().empty()) {
         parts_.log.info("ledger.called", {{"leader", notice.group.leader}, {"term", notice.group.term}});
-        askToJoin();
+        requestJoin();
     }
 }
 
@@ -137,7 +135,7 @@
     GroupView group;
     group.leader = leader();
     group.documentVersion = state_.documentVersion();
-    // Seeds and those remembered: who asks this VM may ask them in turn.
+    // Without a known leader: the seeds and the remembered peers.
     group.members = knownPeers();
     if (driver_.isStarted() && !driver_.leader().empty()) {
         const Membership &members = driver_.node().membership();
@@ -147,7 +145,7 @@
     return group;
 }
 
-void LedgerService::logSearch(const VmName &asked, const std::vector<VmName> &peers)
+void LedgerService::logSearch(const VmName &target, const std::vector<VmName> &peers)
 {
     const TimePoint now = std::chrono::steady_clock::now();
     if (!leader().empty()) {
@@ -155,19 +153,19 @@
         return;
     }
     searchingSince_ = searchingSince_.value_or(now);
-    if (now - *searchingSince_ < longSearch || now - lastSearchLog_ < searchLogInterval) {
+    if (now - *searchingSince_ < minLoggedSearch || now - lastSearchLog_ < searchLogInterval) {
         return;
     }
     lastSearchLog_ = now;
     parts_.log.warn("ledger.searching",
                     {{"for_ms", toMs(now - *searchingSince_)},
-                     {"asked", asked},
+                     {"asked", target},
                      {"known", fmt::format("{}", fmt::join(peers, ","))}});
 }
 
-void LedgerService::askToJoin()
+void LedgerService::requestJoin()
 {
-    // The leader learns each VM's name and address from this, members' too, and that those outside are live.
+    // Join requests also report the address of members, and that VMs outside the group are live.
     const LogIndex completeUpTo = driver_.isStarted() && state_.texts().missing().empty() ? driver_.applied() : 0;
     const JoinRequest request {parts_.settings.vm, self_, completeUpTo, parts_.settings.failureDomain};
     if (leads()) {
@@ -177,7 +175,7 @@
     const std::vector<VmName> peers = knownPeers();
     VmName target = leader();
     if (target.empty() && !peers.empty()) {
-        target = peers[nextAsked_++ % peers.size()];
+        target = peers[nextJoinTarget_++ % peers.size()];
     }
     logSearch(target, peers);
     const auto client = target.empty() || target == self_ ? nullptr : parts_.peers.client(target);
@@ -187,18 +185,18 @@
     }
     client->request(request, joinTimeout, [this, target](Result<FrameBody> reply, bool) {
         const JoinReply *joined = reply ? std::get_if<JoinReply>(&reply.value()) : nullptr;
-        // Handlers come on the client's strand, which the one thread of this process runs.
-        onJoined(target, joined != nullptr ? *joined : JoinReply {});
+        // Handlers run on the client's strand, which this process's only thread serves.
+        onJoinReply(target, joined != nullptr ? *joined : JoinReply {});
     });
 }
 
-void LedgerService::onJoined(const VmName &asked, const JoinReply &reply)
+void LedgerService::onJoinReply(const VmName &target, const JoinReply &reply)
 {
     if (!reply.isConfirmed) {
-        // A notice that came meanwhile says more than the silence, or the ignorance, of the one that was asked before.
-        const bool isOld = discovery_.leader() != asked && !discovery_.leader().empty();
-        if (!isOld) {
-            discovery_.noteHint(reply.group.leader == asked ? GroupView {} : reply.group);
+        // A notice received meanwhile takes precedence over a failed or negative reply.
+        const bool isSuperseded = discovery_.leader() != target && !discovery_.leader().empty();
+        if (!isSuperseded) {
+            discovery_.noteHint(reply.group.leader == target ? GroupView {} : reply.group);
         }
         return;
     }
@@ -206,13 +204,13 @@
     if (driver_.isStarted()) {
         return;
     }
-    // Guards against a VM that comes back without its disk and follows a deposed leader as if it had never promised
-    // anything: a leader that a quorum without this VM has just confirmed has a term that is not below any that
-    // this VM ever voted in, since every quorum of such a term shares a member with the confirming one.
-    RaftStoredState blank;
-    blank.hard = {reply.group.term, std::string(unknownVote)};
+    // A VM that lost its disk has lost the record of its votes, and must not follow a deposed leader. The confirmed
+    // leader's term is at least as high as any that this VM voted in, since the quorum of such a term intersects the
+    // confirming one.
+    RaftStoredState uninitialized;
+    uninitialized.hard = {reply.group.term, std::string(unknownVote)};
     parts_.log.info("ledger.joining", {{"leader", reply.group.leader}, {"term", reply.group.term}});
-    static_cast<void>(startMember(std::move(blank)));
+    static_cast<void>(startMember(std::move(uninitialized)));
 }
 
 void LedgerService::onJoin(const JoinRequest &request, const Replier &replier)
@@ -226,7 +224,7 @@
     joinRequesters_[request.peer] = {std::chrono::steady_clock::now(), request.completeUpTo, request.failureDomain};
     const auto known = state_.vms().find(request.vm);
     const bool isKnown = known != state_.vms().end() && known->second.peer == request.peer;
-    // Asked again while it is proposed, as while the ledger is slow, it is not proposed once more.
+    // Retries while the record is being committed don't propose it again.
     if (!isKnown && proposedVms_.insert(request.vm).second) {
         propose(LedgerVm {request.vm, request.peer, false}, [this, vm = request.vm](bool) { proposedVms_.erase(vm); });
     }
@@ -236,47 +234,47 @@
     driver_.confirmRead([this, replier](bool isConfirmed) { replier->reply(JoinReply {isConfirmed, groupView()}); });
 }
 
-void LedgerService::retire(const VmName &vm, OrderDone done)
+void LedgerService::retire(const VmName &vm, OperationCallback done)
 {
-    confirm([this, vm, done = std::move(done)](OrderResult confirmed) {
+    confirm([this, vm, done = std::move(done)](OperationResult confirmed) {
         const auto found = state_.vms().find(vm);
-        if (confirmed != OrderResult::Done || found == state_.vms().end()) {
-            done(confirmed == OrderResult::Done ? OrderResult::NotFound : confirmed);
+        if (confirmed != OperationResult::Done || found == state_.vms().end()) {
+            done(confirmed == OperationResult::Done ? OperationResult::NotFound : confirmed);
             return;
         }
         if (found->second.isRetiring) {
-            done(OrderResult::Done);
+            done(OperationResult::Done);
             return;
         }
-        std::size_t left = 0;
+        std::size_t remaining = 0;
         for (const auto &[peer, candidate] : candidates()) {
-            left += candidate.isLive && !candidate.isRetiring && peer != found->second.peer ? 1 : 0;
+            remaining += candidate.isLive && !candidate.isRetiring && peer != found->second.peer ? 1 : 0;
         }
-        if (left < desiredVoters()) {
-            parts_.log.warn("retire.refused", {{"target", vm}, {"left", left}, {"needed", desiredVoters()}});
-            done(OrderResult::TooFewLeft);
+        if (remaining < desiredVoters()) {
+            parts_.log.warn("retire.refused", {{"target", vm}, {"left", remaining}, {"needed", desiredVoters()}});
+            done(OperationResult::NotEnoughVms);
             return;
         }
         propose(LedgerVm {vm, found->second.peer, true}, [this, vm, done](bool isCommitted) {
             parts_.log.info("retire.accepted", {{"target", vm}, {"committed", isCommitted}});
-            done(isCommitted ? OrderResult::Done : OrderResult::Unknown);
+            done(isCommitted ? OperationResult::Done : OperationResult::Unknown);
         });
     });
 }
 
-void LedgerService::retirement(const VmName &vm, OrderDone done)
+void LedgerService::retirement(const VmName &vm, OperationCallback done)
 {
-    confirm([this, vm, done = std::move(done)](OrderResult confirmed) {
+    confirm([this, vm, done = std::move(done)](OperationResult confirmed) {
         const auto found = state_.vms().find(vm);
-        if (confirmed != OrderResult::Done || found == state_.vms().end()) {
-            done(confirmed == OrderResult::Done ? OrderResult::NotFound : confirmed);
+        if (confirmed != OperationResult::Done || found == state_.vms().end()) {
+            done(confirmed == OperationResult::Done ? OperationResult::NotFound : confirmed);
             return;
         }
         const Membership &members = driver_.node().membership();
         const VmName &peer = found->second.peer;
-        const bool isOut = !members.voters.contains(peer) && !members.learners.contains(peer)
+        const bool isRemoved = !members.voters.contains(peer) && !members.learners.contains(peer)
             && members.voters.size() >= desiredVoters();
-        done(found->second.isRetiring && isOut ? OrderResult::Done : OrderResult::Running);
+        done(found->second.isRetiring && isRemoved ? OperationResult::Done : OperationResult::Running);
     });
 }
 
@@ -288,7 +286,7 @@
         MemberCandidate &candidate = result[record.peer];
         candidate.isRetiring = record.isRetiring;
         if (const auto requester = joinRequesters_.find(record.peer); requester != joinRequesters_.end()) {
-            candidate.isLive = std::chrono::steady_clock::now() - requester->second.at < joinFreshFor;
+            candidate.isLive = std::chrono::steady_clock::now() - requester->second.at < joinRequestMaxAge;
             candidate.failureDomain = requester->second.failureDomain;
         }
     }
@@ -297,9 +295,9 @@
         for (const VmName &peer : *group) {
             MemberCandidate &candidate = result[peer];
             candidate.isLeader = peer == self_;
-            candidate.isLive = candidate.isLeader || driver_.silenceOf(peer) < lostAfter;
-            // Guards against a newcomer that has the log and not what turns said, which no snapshot holds: were it to
-            // take a lost member's place, the next loss could be one too many.
+            candidate.isLive = candidate.isLeader || driver_.silenceOf(peer) < memberLossTimeout;
+            // Snapshots hold no turn texts. A learner counts as caught up only with its texts, or the next loss could
+            // be permanent.
             const auto requester = joinRequesters_.find(peer);
             const bool hasTexts
                 = requester != joinRequesters_.end() && requester->second.completeUpTo >= node.log().snapshot().index;
@@ -312,7 +310,7 @@
 void LedgerService::planMembers()
 {
     const TimePoint now = std::chrono::steady_clock::now();
-    if (!leads() || now < nextPlan_ || now - leadingSince_ < settlingTime) {
+    if (!leads() || now < nextPlan_ || now - leadingSince_ < membershipGracePeriod) {
         return;
     }
     nextPlan_ = now + planInterval;
--- a/src/gateway/cp_ledger_service.cpp
+++ b/src/gateway/cp_ledger_service.cpp
@@ -9,15 +9,14 @@
 {
 
 constexpr Milliseconds electionTimeout {300};
-// Three heartbeats and more; below it, a leader whose share of a processor is used up would be replaced for it.
+// Several heartbeats; a shorter timeout would depose a leader that is short of CPU time.
 constexpr Milliseconds shortestElectionTimeout {100};
 constexpr Milliseconds firstElectionTimeout {60};
 constexpr Milliseconds heartbeatInterval {30};
-// What a member that catches up may have on its way bounds the leader's memory on small VMs.
+// Appends in flight to a lagging member; bounds the leader's memory on small VMs.
 constexpr std::size_t maxAppendBytes = 256U << 10U;
 constexpr std::size_t maxAppendsInFlight = 16;
-// Lists and documents that entries are sent, all of them together: a third of a ledger VM's link, and what its memory
-// holds of answers that are on their way.
+// Content sent to all entries together; bounds the share of the leader's link and the memory held by pending replies.
 constexpr double updateBytesPerSecond = 24.0 * (1U << 20U);
 constexpr double updateBurstBytes = 4.0 * (1U << 20U);
 constexpr LogIndex foundingIndex = 1;
@@ -32,13 +31,13 @@
               [this]() -> TurnTexts & { return state_.texts(); }, [this] { return otherMembers(); }})
     , driver_({parts.io, parts.disk, parts.peers, parts.log, parts.metrics}, *this)
     , joinTimer_(parts.io)
-    , tellTimer_(parts.io)
+    , presenceTimer_(parts.io)
     , discovery_({parts.io, parts.disk, parts.log})
     , placement_(randomIdentity())
     , limiter_(parts.settings.limitPrecision)
     , pendingUpdates_({updateBytesPerSecond, updateBurstBytes})
     , deferredUpdates_(parts.metrics.counter("cardamompost_news_put_off_total"))
-    , placeSeconds_(parts.metrics.histogram("cardamompost_turn_place_seconds"))
+    , placementSeconds_(parts.metrics.histogram("cardamompost_turn_place_seconds"))
     , takeovers_(parts.metrics.counter("cardamompost_ledger_takeovers_total"))
     , exhaustedTurns_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "spent"}}))
     , unknownTurns_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "no-such-turn"}}))
@@ -52,10 +51,11 @@
     LogStore &store = parts_.disk.store();
     const std::vector<VmName> seeds = parts_.settings.seedPeers();
     const bool isFounder = std::find(seeds.begin(), seeds.end(), self_) != seeds.end();
-    // A VM that remembers a group, though it was never in it, founds none: its seeds may have been exchanged since.
+    // A VM that remembers a group doesn't found one, even if it was never a member: the seeds may have been replaced
+    // since.
     if (store.isEmpty() && parts_.settings.isFirstStart && isFounder) {
-        // Every founder starts from the same first snapshot, whichever starts first, so that there is one system only:
-        // any quorum of the seeds elects, and no two disjoint ones exist.
+        // All founders start from the same snapshot, so that any quorum of the seeds can elect a leader and only one
+        // group can form.
         RaftSnapshot first {foundingIndex, foundingTerm, {{seeds.begin(), seeds.end()}, {}}, LedgerState {}.encode()};
         LogBatch batch;
         batch.putHardState(controlGroup, {foundingTerm, {}});
@@ -68,10 +68,10 @@
     texts_.open(store);
     discovery_.open(store);
     parts_.disk.start();
-    // The log's term is the epoch that seals it against every earlier leader.
+    // The term fences off all earlier leaders.
     parts_.metrics.gauge("cardamompost_ledger_term", {},
                          [this] { return driver_.isStarted() ? static_cast<double>(driver_.node().term()) : 0.0; });
-    // Until it is whole again, a VM that lost its disk counts as one of the losses that can be borne.
+    // Until its data is complete again, a VM that lost its disk counts as one of the tolerated losses.
     parts_.metrics.gauge("cardamompost_ledger_whole", {}, [this] {
         return driver_.isStarted() && !driver_.node().isUninitialized() && state_.texts().missing().empty() ? 1.0 : 0.0;
     });
@@ -83,8 +83,8 @@
     } else {
         parts_.log.warn("ledger.blank", {{"self", self_}});
     }
-    keepJoining();
-    keepTelling();
+    joinPeriodically();
+    announcePeriodically();
     return boost::outcome_v2::success();
 }
 
@@ -108,13 +108,13 @@
 void LedgerService::stop()
 {
     joinTimer_.cancel();
-    tellTimer_.cancel();
+    presenceTimer_.cancel();
     texts_.stop();
     discovery_.stop();
     for (const PendingUpdates::Question &question : pendingUpdates_.takeAll()) {
         replyUpdate(question.request, question.replier, false);
     }
-    answerWatchers(true);
+    replyToWatchers(true);
     driver_.stop();
 }
 
@@ -142,7 +142,7 @@
     }
     const auto *finish = std::get_if<TurnFinish>(&command.value().action);
     if (finish != nullptr && !leads()) {
-        // A leader knows by itself where it sent turns, also those that have not ended yet.
+        // The leader tracks placements itself, including those of turns in progress.
         placement_.noteRan(finish->program, finish->backend, std::chrono::steady_clock::now());
     }
     const std::uint64_t before = state_.documentVersion();
@@ -165,30 +165,31 @@
     return boost::outcome_v2::success();
 }
 
-void LedgerService::putDocument(std::uint64_t version, std::string bytes, OrderDone done)
+void LedgerService::putDocument(std::uint64_t version, std::string bytes, OperationCallback done)
 {
     if (!leads()) {
-        done(OrderResult::NotLeader);
+        done(OperationResult::NotLeader);
         return;
     }
     if (version <= state_.documentVersion()) {
-        // It changes nothing, which the one who sends it again may only hear from a leader that is confirmed.
+        // The document stays as it is, but only a confirmed leader may report that.
         confirm(std::move(done));
         return;
     }
     propose(RouteDocumentPut {version, std::move(bytes)}, [done = std::move(done)](bool isCommitted) {
-        done(isCommitted ? OrderResult::Done : OrderResult::Unknown);
+        done(isCommitted ? OperationResult::Done : OperationResult::Unknown);
     });
 }
 
-void LedgerService::confirm(OrderDone done)
+void LedgerService::confirm(OperationCallback done)
 {
     if (!leads()) {
-        done(OrderResult::NotLeader);
+        done(OperationResult::NotLeader);
         return;
     }
-    driver_.confirmRead(
-        [done = std::move(done)](bool isConfirmed) { done(isConfirmed ? OrderResult::Done : OrderResult::Unknown); });
+    driver_.confirmRead([done = std::move(done)](bool isConfirmed) {
+        done(isConfirmed ? OperationResult::Done : OperationResult::Unknown);
+    });
 }
 
 void LedgerService::onChange()
@@ -203,7 +204,7 @@
     if (isLeader != wasLeader_) {
         if (isLeader) {
             refreshClock();
-            offerDocument();
+            publishDocument();
             const TimePoint now = std::chrono::steady_clock::now();
             limiter_.takeOver(state_.usage(), clock_.nowMs(now), now);
         }
@@ -218,7 +219,7 @@
     }
     serveUpdates();
     if (!watchers_.empty()) {
-        answerWatchers(false);
+        replyToWatchers(false);
     }
     planMembers();
 }
--- a/src/gateway/cp_ledger_service.hpp
+++ b/src/gateway/cp_ledger_service.hpp
@@ -22,8 +22,8 @@
 namespace cardamompost
 {
 
-//! A ledger VM's answers to entries and to other ledger VMs, and on the leader the care for the group's members.
-//! Everything runs on the io_context's thread.
+//! Serves requests of entries and of other ledger VMs; as the leader, also manages the group's membership.
+//! Thread-safety: none; everything runs on the io_context's thread.
 class LedgerService : public IReplicatedState
 {
 public:
@@ -36,21 +36,21 @@
         EventLog &log;
         MetricRegistry &metrics;
     };
-    //! What an operator's order came to.
-    enum class OrderResult {
+    //! The outcome of an operator's request.
+    enum class OperationResult {
         Done,
         NotLeader,
         Unknown,
         NotFound,
-        TooFewLeft,
+        NotEnoughVms,
         Running,
     };
-    using OrderDone = std::function<void(OrderResult)>;
+    using OperationCallback = std::function<void(OperationResult)>;
     using Replier = std::shared_ptr<PeerReplier>;
 
     explicit LedgerService(Parts parts);
 
-    //! Starts the member from its disk, as a founder, or by asking the others. Errors: StorageCorrupt.
+    //! Starts from stored data, as a founder, or by joining the group. Errors: StorageCorrupt.
     Result<void> start();
     void stop();
 
@@ -70,15 +70,15 @@
         texts_.onRequest(request, replier);
     }
 
-    //! Called with a list that was read newly; on the leader only.
+    //! Sets a newly read list of backend servers; on the leader only.
     void setBackends(std::vector<BackendServer> servers);
 
-    //! Puts a checked document in force, unless the same or a higher version is.
-    void putDocument(std::uint64_t version, std::string bytes, OrderDone done);
-    //! Confirms that this member leads and holds all that is committed.
-    void confirm(OrderDone done);
-    void retire(const VmName &vm, OrderDone done);
-    void retirement(const VmName &vm, OrderDone done);
+    //! Puts a validated document in force, unless the same or a higher version already is.
+    void putDocument(std::uint64_t version, std::string bytes, OperationCallback done);
+    //! Confirms that this member is the leader and has applied all committed entries.
+    void confirm(OperationCallback done);
+    void retire(const VmName &vm, OperationCallback done);
+    void retirement(const VmName &vm, OperationCallback done);
 
     [[nodiscard]] const PresenceTable &presence() const
     {
@@ -92,7 +92,7 @@
     {
         return driver_.isEstablishedLeader();
     }
-    //! Empty while none is known. A VM outside of the group knows the one that was last named to it.
+    //! Empty while no leader is known. Outside the group, the leader that was last reported to this VM.
     [[nodiscard]] VmName leader() const
     {
         return driver_.leader().empty() && discovery_.leader() != self_ ? discovery_.leader() : driver_.leader();
@@ -119,17 +119,17 @@
     void onChange() override;
 
 private:
-    //! A turn's begin on its way: it needs a place at an engine, and its reservation on a quorum's disks.
-    struct Begin {
+    //! A begin in progress: waits for its placement and for its reservation to be committed.
+    struct ActiveBegin {
         TurnBegin begin;
         Replier replier;
         TimePoint since {};
-        //! Of the turns that it continues.
+        //! Inputs and outputs of the preceding turns.
         std::string history;
-        //! With a place for it, once isPlaced.
+        //! The server that the turn is placed on; valid once isPlaced.
         std::string backend;
         bool isPlaced = false;
-        //! What the quorum decided; nothing yet.
+        //! The quorum's decision; empty while it is pending.
         std::optional<TurnBeginStatus> decided;
     };
     using PendingUpdates = UpdateQueue<Replier>;
@@ -140,59 +140,59 @@
     };
 
     Result<void> startMember(RaftStoredState stored);
-    void keepJoining();
-    void askToJoin();
-    void onJoined(const VmName &asked, const JoinReply &reply);
-    //! What a VM that asks for the group hears.
+    void joinPeriodically();
+    void requestJoin();
+    void onJoinReply(const VmName &target, const JoinReply &reply);
+    //! The reply to VMs that look for the group.
     [[nodiscard]] GroupView groupView() const;
-    //! Tells VMs that should ask this leader and don't that it is here.
+    //! Sends a leader notice to the VMs that have sent no join request of late; on the leader only.
     void notifySilentPeers();
-    //! Says in the logs whom this VM asks while it finds no leader.
-    void logSearch(const VmName &asked, const std::vector<VmName> &peers);
-    //! Proposes a change, with the ledger's time.
+    //! Logs a search for the leader that takes long.
+    void logSearch(const VmName &target, const std::vector<VmName> &peers);
+    //! Proposes a command with the ledger's time.
     void propose(LedgerCommand::Action action, ConsensusDriver::Committed done);
     void refuse(const TurnBegin &begin, TurnBeginStatus status, bool isConfirmed, const Replier &replier);
     void confirmNoSuchTurn(const TurnBegin &begin, const Replier &replier);
-    //! Takes a turn into its account's limit, and goes on with it then or later.
-    void limitBegin(const std::shared_ptr<Begin> &begun);
-    void noteLimited(const std::string &account, const std::string &id, const RequestLimiter::Decision &decision);
-    //! Calls back as soon as no other VM can admit the account's requests besides this one, and a successor would know
-    //! of those that were. \param until  give up then, with false
-    void mayAdmit(const std::string &account, TimePoint until, std::function<void(bool)> work);
-    //! Proposes what accounts have used, now and then.
+    //! Charges a turn to its account's limit, and continues with it at once or after a delay.
+    void applyAccountLimit(const std::shared_ptr<ActiveBegin> &active);
+    void recordLimited(const std::string &account, const std::string &id, const RequestLimiter::Decision &decision);
+    //! Calls back with true once this leader holds the lease and the account's earlier usage is replicated.
+    //! \param deadline  when to call back with false, as also once this VM no longer leads
+    void awaitAdmissionLease(const std::string &account, TimePoint deadline, std::function<void(bool)> done);
+    //! Proposes the accounts' usage when a report is due.
     void reportUsage();
     void refreshClock();
-    //! Calls back after a time; at once for none.
-    void after(Milliseconds delay, std::function<void()> work);
-    //! Reads the history that a turn goes on from.
-    void readHistory(const std::shared_ptr<Begin> &begun);
-    //! Goes on with a begin whose history is there.
-    //! The turn's program has run a turn before, or runs one now.
+    //! Calls back after a delay; synchronously if there is none.
+    void runAfter(Milliseconds delay, std::function<void()> work);
+    //! Reads the texts of the turns that a begin continues.
+    void readHistory(const std::shared_ptr<ActiveBegin> &active);
+    //! Whether the turn's program has run a turn before, or is running one.
     [[nodiscard]] bool isInProgress(const TurnBegin &begin) const;
-    void startBegin(const std::shared_ptr<Begin> &begun);
-    void placeBegin(const std::shared_ptr<Begin> &begun);
-    void onPlaced(Begin &begun, const std::string &backend);
-    void commitBegin(const std::shared_ptr<Begin> &begun);
-    void onDecided(Begin &begun, TurnBeginStatus status);
-    //! The last reply to a begin.
-    void endBegin(Begin &begun, TurnBeginReply reply);
-    //! The entry has asked again for a begin that is under way.
-    void askAgain(Begin &begun, const Replier &replier);
-    //! Time since the oldest begin was proposed that no quorum has decided yet; 0 when there is none.
+    void startBegin(const std::shared_ptr<ActiveBegin> &active);
+    void requestPlacement(const std::shared_ptr<ActiveBegin> &active);
+    void onPlaced(ActiveBegin &active, const std::string &backend);
+    void commitBegin(const std::shared_ptr<ActiveBegin> &active);
+    void onDecided(ActiveBegin &active, TurnBeginStatus status);
+    //! Sends the final reply and removes the begin.
+    void completeBegin(ActiveBegin &active, TurnBeginReply reply);
+    //! Handles a retry of a begin in progress.
+    void onRepeatedBegin(ActiveBegin &active, const Replier &replier);
+    //! Time since the oldest undecided begin was proposed; 0 when there is none.
     [[nodiscard]] Milliseconds commitDelay(TimePoint now);
     [[nodiscard]] bool isOverloaded(const TurnBegin &begin, TimePoint now);
     [[nodiscard]] bool hasNewDocument(const UpdateRequest &request) const;
     [[nodiscard]] bool hasNewList(const UpdateRequest &request) const;
-    //! There is something new to answer with.
-    [[nodiscard]] bool isDue(const UpdateRequest &request) const;
-    //! Makes the document in force ready to be sent in buckets.
-    void offerDocument();
-    //! Answers entries that wait for news: with what is new, or that there is nothing yet, or that another VM leads.
+    //! There is a newer document or list than the requester holds.
+    [[nodiscard]] bool hasNewContent(const UpdateRequest &request) const;
+    //! Splits the document in force into buckets for delta updates, and applies its limits.
+    void publishDocument();
+    //! Replies to pending update requests: with deltas, without content at their deadline, or that another VM leads.
     void serveUpdates();
-    //! \returns the bytes of what is new in the answer
+    //! \returns the bytes of the deltas sent
     std::size_t replyUpdate(const UpdateRequest &request, const Replier &replier, bool withContent);
-    //! Tells those that wait for a leader: that it is this VM, or that their time is over.
-    void answerWatchers(bool all);
+    //! Replies to watch requests once this VM leads or their deadline has passed.
+    //! \param all  replies to all of them now
+    void replyToWatchers(bool all);
     void planMembers();
     [[nodiscard]] MemberCandidates candidates() const;
     [[nodiscard]] std::size_t desiredVoters() const
@@ -201,59 +201,59 @@
     }
     void logRole();
     [[nodiscard]] std::vector<VmName> knownPeers() const;
-    //! Says to all ledger VMs that this one answers callers.
-    void keepTelling();
-    //! The other members, the leader last.
+    //! Announces to all ledger VMs, at intervals, that this one is reachable.
+    void announcePeriodically();
+    //! The other voters, the leader last.
     [[nodiscard]] std::vector<VmName> otherMembers() const;
 
     Parts parts_;
     VmName self_;
     LedgerState state_;
     LedgerClock clock_;
-    //! The term that the clock was taken over for.
+    //! The term for which the clock was initialized.
     Term clockTerm_ = 0;
     TurnTextStore texts_;
     ConsensusDriver driver_;
     boost::asio::steady_timer joinTimer_;
-    boost::asio::steady_timer tellTimer_;
+    boost::asio::steady_timer presenceTimer_;
     GroupDiscovery discovery_;
-    std::size_t nextAsked_ = 0;
-    //! Since when no leader is known; nothing while one is.
+    std::size_t nextJoinTarget_ = 0;
+    //! Empty while a leader is known.
     std::optional<TimePoint> searchingSince_;
     TimePoint lastSearchLog_ {};
     std::unordered_map<std::string, std::int64_t> pendingTokens_;
-    //! Begins without their last reply, by turn, and those of them that are proposed, oldest first.
-    std::unordered_map<std::string, std::shared_ptr<Begin>> begins_;
-    std::deque<std::pair<TimePoint, std::shared_ptr<Begin>>> proposed_;
-    //! Who waits for an end that is proposed, by turn.
+    //! Begins without a final reply, by turn, and those of them that are proposed, oldest first.
+    std::unordered_map<std::string, std::shared_ptr<ActiveBegin>> activeBegins_;
+    std::deque<std::pair<TimePoint, std::shared_ptr<ActiveBegin>>> proposed_;
+    //! Requesters that wait for a proposed end, by turn.
     std::unordered_map<std::string, Replier> finishes_;
     TurnPlacement placement_;
     RequestLimiter limiter_;
     PendingUpdates pendingUpdates_;
     Counter &deferredUpdates_;
-    Histogram &placeSeconds_;
+    Histogram &placementSeconds_;
     Counter &takeovers_;
     Counter &exhaustedTurns_;
     Counter &unknownTurns_;
     Counter &limited_;
     Counter &overloaded_;
     TurnBeginStatus lastApplied_ = TurnBeginStatus::Granted;
-    //! What a ledger VM said when it last asked to join, which members do too.
+    //! What a ledger VM, member or not, reported with its last join request.
     struct JoinRequester {
         TimePoint at {};
         LogIndex completeUpTo = 0;
         std::string failureDomain;
     };
     std::unordered_map<VmName, JoinRequester> joinRequesters_;
-    //! VMs whose record is proposed and not decided yet.
+    //! VMs whose record is being committed.
     std::set<VmName> proposedVms_;
-    //! Entries that want to hear at once if this VM becomes the leader.
+    //! Pending requests of entries, answered as soon as this VM becomes the leader.
     std::vector<Watcher> watchers_;
     DocumentBuckets documentBuckets_;
-    //! Of the document in the buckets.
-    std::uint64_t offeredVersion_ = 0;
-    //! The last one that was to be put there, readable or not.
-    std::uint64_t triedVersion_ = 0;
+    //! Version of the document in the buckets.
+    std::uint64_t publishedVersion_ = 0;
+    //! The last version that was decoded, successfully or not.
+    std::uint64_t lastReadVersion_ = 0;
     BackendList backends_;
     BackendBuckets listBuckets_;
     PresenceTable presence_;
--- a/src/gateway/cp_ledger_updates.cpp
+++ b/src/gateway/cp_ledger_updates.cpp
@@ -6,13 +6,12 @@
 namespace
 {
 
-// Most that one answer brings of the document, and of the list: on a way that carries 6 Mbit/s both together take a
-// third of a second, well within the time that an entry waits for them.
+// Bounds each delta of a reply, so that both arrive within the request's timeout on a slow link.
 constexpr std::size_t maxUpdateBytes = 128U << 10U;
-// An entry whose news can't be afforded hears in time that the leader is there.
+// Lets an entry know that the leader is alive when its update can't be sent within the bandwidth limit.
 constexpr Milliseconds minUpdateWait {300};
 
-std::size_t bytesOf(const std::optional<ContentDelta> &delta)
+std::size_t byteSize(const std::optional<ContentDelta> &delta)
 {
     std::size_t bytes = 0;
     if (delta) {
@@ -27,7 +26,7 @@
 
 bool LedgerService::hasNewDocument(const UpdateRequest &request) const
 {
-    return request.documentVersion < offeredVersion_;
+    return request.documentVersion < publishedVersion_;
 }
 
 bool LedgerService::hasNewList(const UpdateRequest &request) const
@@ -35,7 +34,7 @@
     return backends_.version.term != 0 && request.list < backends_.version;
 }
 
-bool LedgerService::isDue(const UpdateRequest &request) const
+bool LedgerService::hasNewContent(const UpdateRequest &request) const
 {
     return hasNewDocument(request) || hasNewList(request);
 }
@@ -60,31 +59,31 @@
         return;
     }
     const Milliseconds wait(request.waitMs);
-    pendingUpdates_.add(request, replier, now, isDue(request) ? std::max(minUpdateWait, wait) : wait);
+    pendingUpdates_.add(request, replier, now, hasNewContent(request) ? std::max(minUpdateWait, wait) : wait);
     serveUpdates();
 }
 
-void LedgerService::offerDocument()
+void LedgerService::publishDocument()
 {
-    if (triedVersion_ == state_.documentVersion()) {
+    if (lastReadVersion_ == state_.documentVersion()) {
         return;
     }
-    triedVersion_ = state_.documentVersion();
+    lastReadVersion_ = state_.documentVersion();
     const Result<RouteDocument> document = parts_.adapter.readDocument(state_.document());
     if (!document) {
-        // It was read when it was put, by this build or another one. Entries go on by what they have, and know that
-        // they are behind.
+        // The document was validated when it was put, possibly by another build. Entries keep the version they have,
+        // and know that it is stale.
         parts_.log.write(LogLevel::Error, "document.unreadable",
-                         {{"version", triedVersion_}, {"error", document.error().message}});
+                         {{"version", lastReadVersion_}, {"error", document.error().message}});
         return;
     }
     documentBuckets_.set(document.value());
     limiter_.setLimits(document.value().accounts, std::chrono::steady_clock::now());
     parts_.log.info("document.offered",
-                    {{"version", triedVersion_},
+                    {{"version", lastReadVersion_},
                      {"routes", document.value().routes.size()},
                      {"accounts", document.value().accounts.size()}});
-    offeredVersion_ = triedVersion_;
+    publishedVersion_ = lastReadVersion_;
 }
 
 void LedgerService::serveUpdates()
@@ -99,14 +98,14 @@
         }
         return;
     }
-    offerDocument();
+    publishDocument();
     pendingUpdates_.serve(
-        now, [this](const UpdateRequest &request) { return isDue(request); },
+        now, [this](const UpdateRequest &request) { return hasNewContent(request); },
         [this](const PendingUpdates::Question &question) {
             return replyUpdate(question.request, question.replier, true);
         });
     for (const PendingUpdates::Question &question : pendingUpdates_.takeExpired(now)) {
-        deferredUpdates_.add(isDue(question.request) ? 1 : 0);
+        deferredUpdates_.add(hasNewContent(question.request) ? 1 : 0);
         replyUpdate(question.request, question.replier, false);
     }
 }
@@ -116,12 +115,12 @@
     UpdateReply reply;
     reply.isLeader = leads();
     reply.leader = leader();
-    // All ledger VMs, members or not: each answers the directory, so each has to hear from the entries.
+    // All ledger VMs, members or not: each serves the directory, which needs the entries' presence.
     for (const auto &[vm, record] : state_.vms()) {
         reply.members.push_back(record.peer);
     }
     if (reply.members.empty()) {
-        // A VM outside of the group knows its table by hearsay only: whom it remembers is who may know more.
+        // A VM outside the group has no table and falls back to the peers that it remembers.
         reply.members = groupView().members;
     }
     if (reply.isLeader) {
@@ -136,15 +135,15 @@
         reply.listDelta = listBuckets_.differing(request.listDigests, maxUpdateBytes);
     }
     if (reply.isLeader && withContent && hasNewDocument(request)) {
-        reply.documentVersion = offeredVersion_;
+        reply.documentVersion = publishedVersion_;
         reply.documentDelta = documentBuckets_.differing(request.documentDigests, maxUpdateBytes);
     }
-    const std::size_t bytes = bytesOf(reply.listDelta) + bytesOf(reply.documentDelta);
+    const std::size_t bytes = byteSize(reply.listDelta) + byteSize(reply.documentDelta);
     replier->reply(std::move(reply));
     return bytes;
 }
 
-void LedgerService::answerWatchers(bool all)
+void LedgerService::replyToWatchers(bool all)
 {
     const TimePoint now = std::chrono::steady_clock::now();
     const bool isLeader = leads();
