--- a/src/gateway/cp_backend_exchange.cpp
+++ b/src/gateway/cp_backend_exchange.cpp
@@ -331,7 +331,7 @@
     if (request_.begin) {
         // Nothing is relayed before the turn's reservation is durable; otherwise a new ledger leader would not know of
         // it.
-        co_await request_.begin->untilFinal();
+        co_await request_.begin->waitUntilFinal();
         if (!request_.begin->isGranted()) {
             co_return ExchangeEnd::NotGranted;
         }
