--- a/src/gateway/cp_access_check.cpp
+++ b/src/gateway/cp_access_check.cpp
@@ -91,7 +91,7 @@
     if (!request.isLimited || request.isTurn()) {
         co_return std::nullopt;
     }
-    AdmitRequest admission {request.account, scopedId(request.account, request.facts.id)};
+    AdmitRequest admission {request.account, scopedId(request.account, request.metadata.id)};
     const std::optional<AdmitReply> reply = co_await parts_.ledger.admit(
         std::move(admission), std::min(request.deadline, request.arrived + admitTimeout));
     request.admissionTime
--- a/src/gateway/cp_backend_exchange.cpp
+++ b/src/gateway/cp_backend_exchange.cpp
@@ -147,17 +147,17 @@
 
 asio::awaitable<bool> BackendExchange::send()
 {
-    SendFacts facts;
-    facts.expectedInstance = backend_->server().id;
-    facts.timeLeft = timeLeft();
-    facts.hidesKeys = request_.table->hasAccounts();
-    facts.account = request_.account;
+    BackendHeadOptions options;
+    options.expectedInstance = backend_->server().id;
+    options.timeLeft = timeLeft();
+    options.stripsCredentials = request_.table->hasAccounts();
+    options.account = request_.account;
     if (request_.service->isEngine) {
-        facts.priority = turnPriority({request_.route->rank, request_.facts.programTimeLeft});
+        options.priority = turnPriority({request_.route->rank, request_.metadata.programTimeLeft});
     }
-    const std::string lastId = request_.tally.lastId();
+    const std::string lastId = request_.eventScanner.lastId();
     if (request_.hasResponseStarted) {
-        facts.lastEventId = lastId;
+        options.lastEventId = lastId;
     }
     outgoing_ = std::make_shared<OutgoingRequest>();
     outgoing_->begin = request_.begin;
@@ -165,8 +165,8 @@
         outgoing_->history = request_.begin->history();
     }
     outgoing_->body = request_.message.body();
-    facts.bodyBytes = outgoing_->history.size() + outgoing_->body.size();
-    outgoing_->head = makeBackendHead(request_.message, parts_.names, facts);
+    options.bodyBytes = outgoing_->history.size() + outgoing_->body.size();
+    outgoing_->head = makeBackendHead(request_.message, parts_.names, options);
     if (outgoing_->size() <= inlineSendBytes) {
         const auto [error, written] = co_await asio::async_write(connection_->stream, outgoing_->buffers(), asTuple);
         outgoing_->isWritten = !error;
@@ -199,7 +199,7 @@
             co_return error;
         }
         const auto id = parser_->get().find(parts_.names.requestId);
-        const bool isMatching = id == parser_->get().end() || view(id->value()) == request_.facts.id;
+        const bool isMatching = id == parser_->get().end() || view(id->value()) == request_.metadata.id;
         if (isMatching) {
             co_return boost::system::error_code {};
         }
@@ -350,7 +350,7 @@
             }
         }
         if (error) {
-            request_.tally.dropPartial();
+            request_.eventScanner.discardPartialEvent();
             request_.partialEvent.clear();
             co_return endForError(error);
         }
@@ -360,7 +360,7 @@
 
 asio::awaitable<bool> BackendExchange::relayChunk(std::string bytes)
 {
-    const std::size_t completeBytes = request_.tally.feed(bytes);
+    const std::size_t completeBytes = request_.eventScanner.feed(bytes);
     if (request_.route->isResumable) {
         // A resumable stream is relayed in whole events, so that another server can continue between two of them.
         const std::size_t remainder = bytes.size() - completeBytes;
--- a/src/gateway/cp_directory_server.cpp
+++ b/src/gateway/cp_directory_server.cpp
@@ -33,35 +33,35 @@
     server_.stopAccepting();
 }
 
-HttpResponse DirectoryServer::answerFrom(const HttpRequest &request) const
+HttpResponse DirectoryServer::directoryResponse(const HttpRequest &request) const
 {
     const TimePoint now = std::chrono::steady_clock::now();
     const auto zone = request.query.find("zone");
     const std::string domain = zone == request.query.end() ? std::string() : zone->second;
     const std::vector<std::string> addresses = addressesFor(domain, parts_.presence.ready(now), maxAddresses);
     if (addresses.empty()) {
-        return unavailableResponse("no entry is known to take requests now");
+        return unavailableResponse("no entry is ready");
     }
     return jsonResponse(statusOk, parts_.adapter.writeDirectory(addresses, lifetimeFor(domain, now)));
 }
 
 Milliseconds DirectoryServer::lifetimeFor(const std::string &domain, TimePoint now) const
 {
-    // Guards callers near a directory that is frozen: a look-up there costs them a second before they ask elsewhere,
-    // which shows as pauses of a second, again and again, of all programs of a failure domain. They ask the less often,
-    // the more of those that they ask first are dark. Lives are short otherwise, and no longer than that, since callers
-    // go on connecting to entries that froze meanwhile.
+    // A lookup at an unreachable directory delays the caller until it times out and asks another, so callers should ask
+    // less often the more of their directories are unreachable. Lifetimes are short otherwise, because a cached
+    // response may list an entry that has failed since.
     const GatewaySettings &settings = parts_.settings;
-    const double dark = parts_.presence.unreachableShare(domain, now);
-    const auto more = static_cast<double>((settings.directoryLifetimeDark - settings.directoryLifetime).count());
-    return settings.directoryLifetime + Milliseconds(static_cast<std::int64_t>(more * dark));
+    const double unreachableShare = parts_.presence.unreachableShare(domain, now);
+    const auto extension
+        = static_cast<double>((settings.directoryLifetimeUnreachable - settings.directoryLifetime).count());
+    return settings.directoryLifetime + Milliseconds(static_cast<std::int64_t>(extension * unreachableShare));
 }
 
 asio::awaitable<void> DirectoryServer::onRequest(HttpRequest &request, IHttpResponder &responder)
 {
     HttpResponse response = failureResponse(statusNotFound, "no such path");
     if (request.path == parts_.adapter.paths().directory) {
-        response = answerFrom(request);
+        response = directoryResponse(request);
     } else if (request.path == "/metrics") {
         response = HttpResponse {statusOk, {}, parts_.metrics.text()};
         response.headers["Content-Type"] = "text/plain; version=0.0.4";
--- a/src/gateway/cp_directory_server.hpp
+++ b/src/gateway/cp_directory_server.hpp
@@ -11,7 +11,7 @@
 namespace cardamompost
 {
 
-//! Tells callers over HTTP which entries to use.
+//! Serves the list of ready entries to callers over HTTP.
 class DirectoryServer
 {
 public:
@@ -24,14 +24,14 @@
     };
     explicit DirectoryServer(Parts parts);
 
-    //! Errors: InvalidConfiguration when the address can't be used.
+    //! Errors: InvalidConfiguration if the address can't be bound.
     Result<void> listen();
     void stop();
 
 private:
     boost::asio::awaitable<void> onRequest(HttpRequest &request, IHttpResponder &responder);
-    [[nodiscard]] HttpResponse answerFrom(const HttpRequest &request) const;
-    //! How long callers of a failure domain may keep an answer.
+    [[nodiscard]] HttpResponse directoryResponse(const HttpRequest &request) const;
+    //! How long callers in a failure domain may cache a response.
     [[nodiscard]] Milliseconds lifetimeFor(const std::string &domain, TimePoint now) const;
 
     Parts parts_;
--- a/src/gateway/cp_document_staleness.hpp
+++ b/src/gateway/cp_document_staleness.hpp
@@ -9,46 +9,46 @@
 namespace cardamompost
 {
 
-//! Since when an entry knows that there is a newer document than the one it goes by. Thread-safety: none.
+//! Tracks for how long an entry's route document has been older than the latest known version. Thread-safety: none.
 class DocumentStaleness
 {
 public:
-    //! \param newest  as the ledger's leader says
-    void noteNewest(std::uint64_t newest, TimePoint now)
+    //! Records the version that the ledger's leader reported. Older ones, as from a deposed leader, are ignored.
+    void recordLatestVersion(std::uint64_t version, TimePoint now)
     {
-        if (newest > newest_) {
-            newest_ = newest;
+        if (version > latestVersion_) {
+            latestVersion_ = version;
         }
-        if (newest_ > inForce_ && !since_) {
-            since_ = now;
+        if (latestVersion_ > appliedVersion_ && !staleSince_) {
+            staleSince_ = now;
         }
     }
-    void noteInForce(std::uint64_t version)
+    void recordAppliedVersion(std::uint64_t version)
     {
-        inForce_ = version;
-        if (inForce_ >= newest_) {
-            since_.reset();
+        appliedVersion_ = version;
+        if (appliedVersion_ >= latestVersion_) {
+            staleSince_.reset();
         }
     }
 
     [[nodiscard]] bool isStale() const
     {
-        return since_.has_value();
+        return staleSince_.has_value();
     }
-    //! 0 while the newest one that was heard of is in force.
+    //! 0 while the latest known version is applied.
     [[nodiscard]] Milliseconds staleFor(TimePoint now) const
     {
-        return since_ ? std::chrono::duration_cast<Milliseconds>(now - *since_) : Milliseconds(0);
+        return staleSince_ ? std::chrono::duration_cast<Milliseconds>(now - *staleSince_) : Milliseconds(0);
     }
-    [[nodiscard]] std::uint64_t newest() const
+    [[nodiscard]] std::uint64_t latestVersion() const
     {
-        return newest_;
+        return latestVersion_;
     }
 
 private:
-    std::uint64_t newest_ = 0;
-    std::uint64_t inForce_ = 0;
-    std::optional<TimePoint> since_;
+    std::uint64_t latestVersion_ = 0;
+    std::uint64_t appliedVersion_ = 0;
+    std::optional<TimePoint> staleSince_;
 };
 
 } // namespace cardamompost
--- a/src/gateway/cp_entry_replica.cpp
+++ b/src/gateway/cp_entry_replica.cpp
@@ -6,23 +6,23 @@
 namespace
 {
 
-// A newer document is in force everywhere within a second or two; an entry that needs longer says so.
+// Staleness of the route document from which a warning is logged.
 constexpr Milliseconds maxStaleness {1000};
 
-//! Adds what has come. \returns true once it is the whole of what the ledger's leader has. Errors: InvalidRequest; then
-//! nothing is held any more, so that all of it is asked for anew.
+//! Applies a delta to the buckets. \returns true once they match the leader's. Errors: InvalidRequest; the buckets are
+//! then cleared, so that all of them are requested again.
 template<typename Buckets>
-Result<bool> takeDelta(Buckets &held, const ContentDelta &delta)
+Result<bool> applyDelta(Buckets &buckets, const ContentDelta &delta)
 {
-    Result<void> taken = held.take(delta.buckets);
-    const bool isComplete = taken.has_value() && delta.rest == 0;
-    if (isComplete && held.checksum() != delta.checksum) {
-        // Guards against two different buckets with one short digest: the one would be kept for the other for good.
-        taken = makeError(ErrorKind::InvalidRequest, "the parts do not make the whole");
+    Result<void> applied = buckets.take(delta.buckets);
+    const bool isComplete = applied.has_value() && delta.rest == 0;
+    if (isComplete && buckets.checksum() != delta.checksum) {
+        // A collision of digests hides a difference between two buckets.
+        applied = makeError(ErrorKind::InvalidRequest, "the buckets do not match the leader's checksum");
     }
-    if (!taken) {
-        held = {};
-        return taken.error();
+    if (!applied) {
+        buckets = {};
+        return applied.error();
     }
     return isComplete;
 }
@@ -34,29 +34,29 @@
     return parts_.forwarder.table() ? parts_.forwarder.table()->version() : 0;
 }
 
-void EntryReplica::take(const UpdateReply &update)
+void EntryReplica::apply(const UpdateReply &update)
 {
-    takeDocument(update);
-    takeList(update);
+    applyDocumentDelta(update);
+    applyBackendListDelta(update);
     parts_.ledger.setKnown(
         {documentVersion(), parts_.pool.version(), documentBuckets_.digests(), listBuckets_.digests()});
     logIfStale();
 }
 
-void EntryReplica::takeDocument(const UpdateReply &update)
+void EntryReplica::applyDocumentDelta(const UpdateReply &update)
 {
-    const std::uint64_t known = documentVersion();
-    // An entry never goes back: whoever answers, an older version than the one in force is not taken.
-    if (!update.documentDelta || update.documentVersion <= known) {
+    const std::uint64_t current = documentVersion();
+    // A deposed leader may still reply with an older version.
+    if (!update.documentDelta || update.documentVersion <= current) {
         return;
     }
-    const Result<bool> taken = takeDelta(documentBuckets_, *update.documentDelta);
-    if (!taken) {
+    const Result<bool> applied = applyDelta(documentBuckets_, *update.documentDelta);
+    if (!applied) {
         parts_.log.write(LogLevel::Error, "document.unreadable",
-                         {{"version", update.documentVersion}, {"error", taken.error().message}});
+                         {{"version", update.documentVersion}, {"error", applied.error().message}});
         return;
     }
-    if (!taken.value()) {
+    if (!applied.value()) {
         return;
     }
     RouteDocument document = documentBuckets_.content();
@@ -64,21 +64,21 @@
     parts_.forwarder.setTable(std::make_shared<const RouteTable>(std::move(document)));
     parts_.log.info("document.in_force",
                     {{"version", update.documentVersion},
-                     {"before", known},
-                     {"behind_ms", parts_.ledger.lag().staleFor(std::chrono::steady_clock::now()).count()}});
+                     {"before", current},
+                     {"behind_ms", parts_.ledger.staleness().staleFor(std::chrono::steady_clock::now()).count()}});
 }
 
-void EntryReplica::takeList(const UpdateReply &update)
+void EntryReplica::applyBackendListDelta(const UpdateReply &update)
 {
     if (!update.listDelta || update.list <= parts_.pool.version()) {
         return;
     }
-    const Result<bool> taken = takeDelta(listBuckets_, *update.listDelta);
-    if (!taken) {
-        parts_.log.warn("backends.unreadable", {{"error", taken.error().message}});
+    const Result<bool> applied = applyDelta(listBuckets_, *update.listDelta);
+    if (!applied) {
+        parts_.log.warn("backends.unreadable", {{"error", applied.error().message}});
         return;
     }
-    if (!taken.value()) {
+    if (!applied.value()) {
         return;
     }
     const std::vector<BackendServer> servers = listBuckets_.content();
@@ -93,13 +93,14 @@
 
 void EntryReplica::logIfStale()
 {
-    const DocumentStaleness &lag = parts_.ledger.lag();
-    const Milliseconds behind = lag.staleFor(std::chrono::steady_clock::now());
-    if (behind > maxStaleness && !hasLoggedStale_) {
-        parts_.log.warn("document.behind",
-                        {{"version", documentVersion()}, {"newest", lag.newest()}, {"ms", behind.count()}});
+    const DocumentStaleness &staleness = parts_.ledger.staleness();
+    const Milliseconds staleFor = staleness.staleFor(std::chrono::steady_clock::now());
+    if (staleFor > maxStaleness && !hasLoggedStale_) {
+        parts_.log.warn(
+            "document.behind",
+            {{"version", documentVersion()}, {"newest", staleness.latestVersion()}, {"ms", staleFor.count()}});
     }
-    hasLoggedStale_ = behind > maxStaleness;
+    hasLoggedStale_ = staleFor > maxStaleness;
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_entry_replica.hpp
+++ b/src/gateway/cp_entry_replica.hpp
@@ -6,8 +6,8 @@
 namespace cardamompost
 {
 
-//! What an entry holds of the ledger's news: the document and the list that it goes by, and what has come so far of
-//! newer ones. Those take their place whole, never in part. Thread-safety: none.
+//! Replicates the route document and the backend list from the ledger's leader. Deltas accumulate in buckets; a new
+//! version is applied only once it is complete. Thread-safety: none.
 class EntryReplica
 {
 public:
@@ -23,8 +23,8 @@
     {
     }
 
-    void take(const UpdateReply &update);
-    //! There is a document and a list to go by.
+    void apply(const UpdateReply &update);
+    //! True once a document and a list have been applied.
     [[nodiscard]] bool isComplete() const
     {
         return parts_.forwarder.table() != nullptr && parts_.pool.version().term != 0;
@@ -32,9 +32,9 @@
 
 private:
     [[nodiscard]] std::uint64_t documentVersion() const;
-    void takeDocument(const UpdateReply &update);
-    void takeList(const UpdateReply &update);
-    //! Says so, once, when this entry has gone by an old document for long.
+    void applyDocumentDelta(const UpdateReply &update);
+    void applyBackendListDelta(const UpdateReply &update);
+    //! Logs a warning once per period in which the document is stale for too long.
     void logIfStale();
 
     Parts parts_;
--- a/src/gateway/cp_entry_server.cpp
+++ b/src/gateway/cp_entry_server.cpp
@@ -21,12 +21,11 @@
 {
 
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-// How often the ledger VMs hear from an entry; the more they are, the seldomer, so that an entry sends some twenty such
-// messages a second: with one of some hundred bytes each it stays within 3 KB a second for control.
-constexpr Milliseconds tellIntervalAVm {45};
-constexpr Milliseconds shortestTellInterval {100};
-constexpr Milliseconds longestTellInterval {300};
-constexpr Milliseconds acceptPause {20};
+// The heartbeat interval grows with the number of ledger VMs, which bounds an entry's heartbeat traffic.
+constexpr Milliseconds heartbeatIntervalPerVm {45};
+constexpr Milliseconds minHeartbeatInterval {100};
+constexpr Milliseconds maxHeartbeatInterval {300};
+constexpr Milliseconds acceptRetryDelay {20};
 constexpr std::size_t firstReadBytes = 8U << 10U;
 constexpr unsigned statusOk = 200;
 constexpr unsigned statusInvalid = 400;
@@ -35,22 +34,22 @@
 constexpr unsigned statusHeadersTooLarge = 431;
 constexpr unsigned statusUnavailable = 503;
 
-//! The answer to a request that could not be read; nothing when the caller just went.
-std::optional<LocalResponse> unreadable(const boost::system::error_code &error)
+//! The response to a request that could not be read; nothing if the caller disconnected.
+std::optional<LocalResponse> responseForReadError(const boost::system::error_code &error)
 {
     if (error == http::error::body_limit) {
-        return LocalResponse {statusTooLarge, "the body is longer than allowed", {}};
+        return LocalResponse {statusTooLarge, "the body exceeds the size limit", {}};
     }
     if (error == http::error::header_limit || error == http::error::buffer_overflow) {
-        return LocalResponse {statusHeadersTooLarge, "the headers are longer than allowed", {}};
+        return LocalResponse {statusHeadersTooLarge, "the headers exceed the size limit", {}};
     }
     if (error == beast::error::timeout) {
-        return LocalResponse {statusRequestTimeout, "the request did not arrive in time", {}};
+        return LocalResponse {statusRequestTimeout, "timed out waiting for the request", {}};
     }
     const bool isMalformed = error.category() == make_error_code(http::error::bad_method).category()
         && error != http::error::end_of_stream && error != http::error::partial_message;
     if (isMalformed) {
-        return LocalResponse {statusInvalid, "the request is not HTTP/1.1", {}};
+        return LocalResponse {statusInvalid, "the request is not valid HTTP/1.1", {}};
     }
     return std::nullopt;
 }
@@ -63,9 +62,9 @@
     , pool_(parts.settings.vm, parts.settings.failureDomain, parts.metrics)
     , forwarder_({parts.io, parts.adapter, parts.settings, pool_, ledger_, parts.log, parts.metrics})
     , replica_({forwarder_, pool_, ledger_, parts.log})
-    , ready_(
+    , readinessServer_(
           parts.io.get_executor(), HttpLimits {},
-          [this](HttpRequest &request, IHttpResponder &responder) { return onReady(request, responder); },
+          [this](HttpRequest &request, IHttpResponder &responder) { return onReadinessRequest(request, responder); },
           [](const Error &error) {
               HttpResponse response;
               response.status = answerFor(error.kind).status;
@@ -79,13 +78,13 @@
 Result<void> EntryServer::start()
 {
     BOOST_OUTCOME_TRYV(openAcceptor(acceptor_, parts_.settings.front));
-    BOOST_OUTCOME_TRYV(ready_.listen(parts_.settings.ready));
+    BOOST_OUTCOME_TRYV(readinessServer_.listen(parts_.settings.ready));
     asio::co_spawn(parts_.io, accept(), asio::detached);
     ledger_.start([this](const UpdateReply &update) {
-        replica_.take(update);
-        tellIfChanged();
+        replica_.apply(update);
+        announceReadinessChange();
     });
-    keepTelling();
+    sendHeartbeats();
     return boost::outcome_v2::success();
 }
 
@@ -94,7 +93,7 @@
     return !isDraining_ && replica_.isComplete();
 }
 
-void EntryServer::tellIfChanged()
+void EntryServer::announceReadinessChange()
 {
     if (isReady() != wasReady_) {
         wasReady_ = isReady();
@@ -103,15 +102,15 @@
     }
 }
 
-void EntryServer::keepTelling()
+void EntryServer::sendHeartbeats()
 {
     ledger_.tellPresence(isReady());
     pool_.closeIdle(std::chrono::steady_clock::now());
-    const Milliseconds interval = tellIntervalAVm * static_cast<int>(ledger_.memberCount());
-    timer_.expires_after(std::clamp(interval, shortestTellInterval, longestTellInterval));
+    const Milliseconds interval = heartbeatIntervalPerVm * static_cast<int>(ledger_.memberCount());
+    timer_.expires_after(std::clamp(interval, minHeartbeatInterval, maxHeartbeatInterval));
     timer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            keepTelling();
+            sendHeartbeats();
         }
     });
 }
@@ -119,7 +118,7 @@
 void EntryServer::drain()
 {
     isDraining_ = true;
-    tellIfChanged();
+    announceReadinessChange();
 }
 
 void EntryServer::stopAccepting()
@@ -131,7 +130,7 @@
     }
 }
 
-asio::awaitable<void> EntryServer::onReady(HttpRequest &request, IHttpResponder &responder)
+asio::awaitable<void> EntryServer::onReadinessRequest(HttpRequest &request, IHttpResponder &responder)
 {
     HttpResponse response;
     response.status = isReady() ? statusOk : statusUnavailable;
@@ -148,7 +147,7 @@
     while (acceptor_.is_open()) {
         auto [error, socket] = co_await acceptor_.async_accept(asTuple);
         if (error) {
-            asio::steady_timer pause(parts_.io, acceptPause);
+            asio::steady_timer pause(parts_.io, acceptRetryDelay);
             co_await pause.async_wait(asTuple);
             continue;
         }
@@ -168,30 +167,30 @@
         if (buffer.size() == 0) {
             stream.expires_after(bounds.idleTimeout);
             idle_.insert(caller);
-            const auto [error, got] = co_await stream.async_read_some(buffer.prepare(firstReadBytes), asTuple);
+            const auto [error, bytesRead] = co_await stream.async_read_some(buffer.prepare(firstReadBytes), asTuple);
             idle_.erase(caller);
             if (error) {
                 break;
             }
-            buffer.commit(got);
+            buffer.commit(bytesRead);
         }
         http::request_parser<http::string_body> parser;
         parser.header_limit(bounds.headerBytes);
         parser.body_limit(bounds.bodyBytes);
         parser.eager(true);
         stream.expires_after(bounds.headerTimeout);
-        auto [error, got] = co_await http::async_read_header(stream, buffer, parser, asTuple);
+        auto [error, bytesRead] = co_await http::async_read_header(stream, buffer, parser, asTuple);
         if (!error && beast::iequals(parser.get()[http::field::expect], "100-continue")) {
-            std::string go = "HTTP/1.1 100 Continue\r\n\r\n";
-            co_await caller->write(std::move(go));
+            std::string interimResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+            co_await caller->write(std::move(interimResponse));
         }
         if (!error && !parser.is_done()) {
             stream.expires_after(bounds.idleTimeout);
-            std::tie(error, got) = co_await http::async_read(stream, buffer, parser, asTuple);
+            std::tie(error, bytesRead) = co_await http::async_read(stream, buffer, parser, asTuple);
         }
         stream.expires_never();
         if (error) {
-            const std::optional<LocalResponse> refusal = unreadable(error);
+            const std::optional<LocalResponse> refusal = responseForReadError(error);
             caller->closeAfterResponse();
             if (refusal) {
                 parts_.log.info("request.unreadable", {{"status", refusal->status}, {"error", error.message()}});
--- a/src/gateway/cp_entry_server.hpp
+++ b/src/gateway/cp_entry_server.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! An entry: takes callers' connections, and tells the platform and the directory whether it is ready.
+//! Accepts callers' connections, forwards their requests, and reports readiness to the platform and the directory.
 class EntryServer
 {
 public:
@@ -24,13 +24,13 @@
 
     explicit EntryServer(Parts parts);
 
-    //! Errors: InvalidConfiguration when an address can't be used.
+    //! Errors: InvalidConfiguration if an address can't be bound.
     Result<void> start();
-    //! Leaves the directory and goes on serving whoever still comes.
+    //! Withdraws from the directory. New connections are still accepted until stopAccepting().
     void drain();
-    //! Takes no more connections, and closes those on which no request is under way.
+    //! Accepts no more connections, and closes idle ones.
     void stopAccepting();
-    //! True once no request is under way.
+    //! True if no request is in flight.
     [[nodiscard]] bool isIdle() const
     {
         return forwarder_.inFlight() == 0;
@@ -46,21 +46,23 @@
 
 private:
     [[nodiscard]] bool isReady() const;
-    void keepTelling();
-    void tellIfChanged();
+    //! Sends a heartbeat to the ledger VMs, closes expired idle connections, and schedules the next run.
+    void sendHeartbeats();
+    //! Sends a heartbeat at once if the readiness has changed.
+    void announceReadinessChange();
     boost::asio::awaitable<void> accept();
     boost::asio::awaitable<void> serve(std::shared_ptr<CallerConnection> caller);
-    boost::asio::awaitable<void> onReady(HttpRequest &request, IHttpResponder &responder);
+    boost::asio::awaitable<void> onReadinessRequest(HttpRequest &request, IHttpResponder &responder);
 
     Parts parts_;
     LedgerClient ledger_;
     BackendPool pool_;
     Forwarder forwarder_;
     EntryReplica replica_;
-    HttpServer ready_;
+    HttpServer readinessServer_;
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::steady_timer timer_;
-    //! Connections that wait for their next request.
+    //! Connections waiting for their next request.
     std::set<std::shared_ptr<CallerConnection>> idle_;
     bool isDraining_ = false;
     bool wasReady_ = false;
--- a/src/gateway/cp_event_tally.cpp
+++ b/src/gateway/cp_event_stream_scanner.cpp
@@ -1,4 +1,4 @@
-#include "cp_event_tally.hpp"
+#include "cp_event_stream_scanner.hpp"
 
 namespace cardamompost
 {
@@ -6,7 +6,7 @@
 namespace
 {
 
-//! The value of a field line, without the one space that may follow the colon.
+//! The value of a field line, without a single space after the colon.
 std::string_view fieldValue(std::string_view line, std::size_t nameSize)
 {
     std::string_view value = line.substr(nameSize + 1);
@@ -18,9 +18,9 @@
 
 } // namespace
 
-std::size_t EventTally::feed(std::string_view bytes)
+std::size_t EventStreamScanner::feed(std::string_view bytes)
 {
-    std::size_t wholeUpTo = 0;
+    std::size_t completeBytes = 0;
     std::size_t begin = 0;
     while (begin < bytes.size()) {
         const std::size_t end = bytes.find('\n', begin);
@@ -34,17 +34,17 @@
             line_.pop_back();
         }
         if (line_.empty()) {
-            endEvent();
-            wholeUpTo = begin;
+            dispatchEvent();
+            completeBytes = begin;
         } else {
-            endLine(line_);
+            processField(line_);
         }
         line_.clear();
     }
-    return wholeUpTo;
+    return completeBytes;
 }
 
-void EventTally::endLine(std::string_view line)
+void EventStreamScanner::processField(std::string_view line)
 {
     constexpr std::string_view dataField = "data";
     constexpr std::string_view idField = "id";
@@ -59,13 +59,13 @@
     }
 }
 
-void EventTally::endEvent()
+void EventStreamScanner::dispatchEvent()
 {
     if (!id_.empty()) {
         lastId_ = id_;
     }
     if (hasData_) {
-        ++events_;
+        ++eventCount_;
         output_ += data_;
         output_ += '\n';
     }
@@ -74,7 +74,7 @@
     hasData_ = false;
 }
 
-void EventTally::dropPartial()
+void EventStreamScanner::discardPartialEvent()
 {
     line_.clear();
     data_.clear();
--- /dev/null
+++ b/src/gateway/cp_event_stream_scanner.hpp
@@ -0,0 +1,52 @@
+#ifndef CARDAMOMPOST_CP_EVENT_STREAM_SCANNER_HPP_INCLUDED
+#define CARDAMOMPOST_CP_EVENT_STREAM_SCANNER_HPP_INCLUDED
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+namespace cardamompost
+{
+
+//! Scans a stream of server-sent events while it is forwarded: counts complete events and records their data.
+class EventStreamScanner
+{
+public:
+    //! \returns the number of bytes up to the end of the last complete event; 0 if none ends in these bytes
+    std::size_t feed(std::string_view bytes);
+
+    //! Number of complete events that have data.
+    [[nodiscard]] std::uint64_t eventCount() const
+    {
+        return eventCount_;
+    }
+    //! Id of the last complete event that has one; empty if none has.
+    [[nodiscard]] const std::string &lastId() const
+    {
+        return lastId_;
+    }
+    //! Data of all complete events, each terminated by a line feed.
+    [[nodiscard]] std::string &output()
+    {
+        return output_;
+    }
+    //! Discards an incomplete event, as when a stream is resumed on another connection.
+    void discardPartialEvent();
+
+private:
+    void processField(std::string_view line);
+    void dispatchEvent();
+
+    std::string line_;
+    std::string data_;
+    std::string id_;
+    std::string lastId_;
+    std::string output_;
+    std::uint64_t eventCount_ = 0;
+    bool hasData_ = false;
+};
+
+} // namespace cardamompost
+
+#endif // CARDAMOMPOST_CP_EVENT_STREAM_SCANNER_HPP_INCLUDED
--- a/src/gateway/cp_forwarded_request.cpp
+++ b/src/gateway/cp_forwarded_request.cpp
@@ -24,7 +24,7 @@
     finish.isKept = route->keepsHistory && ending == TurnEnding::Complete;
     if (finish.isKept) {
         finish.input = message.body();
-        finish.output = tally.output();
+        finish.output = eventScanner.output();
     }
     return finish;
 }
@@ -32,9 +32,9 @@
 const std::string &ForwardedRequest::stickyKey() const
 {
     if (!service->isEngine) {
-        return facts.affinity;
+        return metadata.affinity;
     }
-    return facts.program.empty() ? facts.session : facts.program;
+    return metadata.program.empty() ? metadata.session : metadata.program;
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_forwarded_request.hpp
+++ b/src/gateway/cp_forwarded_request.hpp
@@ -2,7 +2,7 @@
 #define CARDAMOMPOST_CP_FORWARDED_REQUEST_HPP_INCLUDED
 
 #include "cp_backend_pool.hpp"
-#include "cp_event_tally.hpp"
+#include "cp_event_stream_scanner.hpp"
 #include "cp_ledger_client.hpp"
 #include "cp_request_head.hpp"
 
@@ -47,7 +47,7 @@
     std::shared_ptr<const RouteTable> table;
     const Route *route = nullptr;
     const BackendService *service = nullptr;
-    RequestFacts facts;
+    RequestMetadata metadata;
     //! Hash of the caller's key; nothing if there is none or no keys are required.
     std::optional<KeyHash> keyHash;
     //! Name of the client account that holds the key; empty if there is none.
@@ -61,7 +61,7 @@
 
     //! Set for a turn, which needs admission by the ledger.
     std::shared_ptr<PendingBegin> begin;
-    EventTally tally;
+    EventStreamScanner eventScanner;
     //! Bytes of an incomplete event, held back on a resumable stream.
     std::string partialEvent;
     //! True once the head of the response has been written.
@@ -85,15 +85,15 @@
     //! Ids scoped to the account, as used in the ledger.
     [[nodiscard]] std::string turnId() const
     {
-        return scopedId(account, facts.id);
+        return scopedId(account, metadata.id);
     }
     [[nodiscard]] std::string programId() const
     {
-        return scopedId(account, facts.program);
+        return scopedId(account, metadata.program);
     }
     [[nodiscard]] std::string previousTurnId() const
     {
-        return scopedId(account, facts.previousTurn);
+        return scopedId(account, metadata.previousTurn);
     }
     //! Priority by account, then by route; 0 is the highest.
     [[nodiscard]] unsigned rank() const
@@ -104,7 +104,7 @@
     }
     [[nodiscard]] bool isTurn() const
     {
-        return route->kind == RouteKind::Streaming && (route->keepsHistory || facts.budget >= 0);
+        return route->kind == RouteKind::Streaming && (route->keepsHistory || metadata.budget >= 0);
     }
     //! True if the request may safely be executed more than once.
     [[nodiscard]] bool isRepeatable() const
@@ -113,7 +113,7 @@
     }
     [[nodiscard]] std::int64_t tokensSent()
     {
-        return static_cast<std::int64_t>(tally.events()) * service->engine.tokensPerEvent;
+        return static_cast<std::int64_t>(eventScanner.eventCount()) * service->engine.tokensPerEvent;
     }
     [[nodiscard]] TurnFinish finish(TurnEnding ending);
     //! Key shared by requests that benefit from reaching the same server; empty for none.
--- a/src/gateway/cp_forwarder.cpp
+++ b/src/gateway/cp_forwarder.cpp
@@ -102,9 +102,9 @@
     if (request.route == nullptr) {
         return false;
     }
-    const std::string &splitKey = request.facts.program.empty() ? request.facts.id : request.facts.program;
+    const std::string &splitKey = request.metadata.program.empty() ? request.metadata.id : request.metadata.program;
     request.service = request.table->service(RouteTable::pickService(*request.route, stableHash(splitKey)));
-    const Milliseconds callerTimeout = request.facts.callerTimeout.value_or(request.route->timeout);
+    const Milliseconds callerTimeout = request.metadata.callerTimeout.value_or(request.route->timeout);
     request.deadline = request.arrived + std::min(callerTimeout, request.route->timeout);
     return true;
 }
@@ -122,11 +122,11 @@
 asio::awaitable<void> Forwarder::run(ForwardedRequest &request)
 {
     // Read before any refusal, so that the log line of a refused request has its id.
-    request.facts = readFacts(request.message, parts_.adapter.headers());
-    const std::string malformedHeader = "header '" + request.facts.fault + "' is malformed";
+    request.metadata = parseRequestMetadata(request.message, parts_.adapter.headers());
+    const std::string malformedReason = "header '" + request.metadata.malformedHeader + "' is malformed";
     LocalResponse refusal;
-    if (!request.facts.fault.empty()) {
-        refusal = {statusBadRequest, malformedHeader, Milliseconds(0)};
+    if (!request.metadata.malformedHeader.empty()) {
+        refusal = {statusBadRequest, malformedReason, Milliseconds(0)};
     } else if (!request.table) {
         refusal = {statusUnavailable, "no configuration loaded yet", retryAfterLong};
     } else if (!findRoute(request)) {
@@ -161,7 +161,7 @@
     placement.service = request.service->name;
     placement.failureDomain = parts_.pool.failureDomain();
     placement.rank = request.rank();
-    placement.programTimeLeftMs = request.facts.programTimeLeft.value_or(Milliseconds(0)).count();
+    placement.programTimeLeftMs = request.metadata.programTimeLeft.value_or(Milliseconds(0)).count();
     placement.timeLeftMs = static_cast<std::uint32_t>(
         std::max<std::int64_t>(0, std::chrono::duration_cast<Milliseconds>(request.deadline - now).count()));
     placement.unreachable = parts_.pool.ejected(request.service->name, now);
@@ -198,8 +198,8 @@
     begin.program = request.programId();
     begin.previous = request.route->keepsHistory ? request.previousTurnId() : std::string();
     begin.account = request.isLimited ? request.account : std::string();
-    begin.tokensAtMost = request.facts.tokensOutAtMost;
-    begin.budget = request.facts.budget;
+    begin.tokensAtMost = request.metadata.maxOutputTokens;
+    begin.budget = request.metadata.budget;
     begin.retentionMs = request.finish(TurnEnding::NotRun).retentionMs;
     if (request.service->isEngine) {
         begin.placement = placementRequestFor(request);
@@ -313,7 +313,7 @@
         parts_.log.warn("backend.left_out",
                         {{"backend", backend.server().id},
                          {"address", backend.server().address.toString()},
-                         {"id", request.facts.id},
+                         {"id", request.metadata.id},
                          {"error", request.detail},
                          {"list_term", parts_.pool.version().term},
                          {"list_sequence", parts_.pool.version().sequence}});
--- a/src/gateway/cp_gateway.cpp
+++ b/src/gateway/cp_gateway.cpp
@@ -18,23 +18,22 @@
 namespace
 {
 
-constexpr Milliseconds drainPoll {50};
-// A leaving entry serves at least so long: callers keep an answer of the directory for a while.
-constexpr Milliseconds serveAtLeast {4200};
-// What is left of the grace period when the process ends, whatever is still under way.
-constexpr Milliseconds graceMargin {600};
-constexpr Milliseconds handOverTime {300};
+constexpr Milliseconds drainPollInterval {50};
+// A draining entry serves at least this long, because callers may have cached a directory response that lists it.
+constexpr Milliseconds minDrainTime {4200};
+// The process exits this long before the end of the grace period, even with requests in flight.
+constexpr Milliseconds shutdownMargin {600};
+constexpr Milliseconds leadershipTransferTime {300};
 constexpr Milliseconds diskRetryInterval {300};
-constexpr Milliseconds flushInterval {200};
-constexpr Milliseconds rereadInterval {1000};
-// A process that was not run for so long explains requests that nobody answered meanwhile.
-constexpr Milliseconds stallAtLeast {800};
+constexpr Milliseconds periodicInterval {200};
+constexpr Milliseconds seedReloadInterval {1000};
+constexpr Milliseconds minReportedStall {800};
 
-// Small segments: what a small VM's memory holds while one is cleaned, or read at a start. Most of what expires lies
-// in the oldest ones, so that much can be required to be of use.
+// Segments are small because one is held in memory during compaction and recovery. Most expired records are in the
+// oldest segments, so a high share of live data is cheap to keep.
 constexpr LogStoreOptions ledgerStore {4U << 20U, 0.6};
 
-//! Counts on while the VM is suspended, which the steady clock does not.
+//! Includes time in which the VM was suspended, unlike the steady clock.
 std::chrono::nanoseconds timeSinceBoot()
 {
     timespec time {};
@@ -52,8 +51,8 @@
     , openFolder_(std::move(openFolder))
     , io_(1)
     , signals_(io_, SIGTERM, SIGINT, SIGHUP)
-    , flushTimer_(io_)
-    , startTimer_(io_)
+    , periodicTimer_(io_)
+    , ledgerStartTimer_(io_)
     , log_(settings_.vm, settings_.logFile, settings_.logLevel)
     , peers_(io_.get_executor(), traffic_)
 {
@@ -61,7 +60,7 @@
 
 Gateway::~Gateway()
 {
-    // Guards against jobs that end while their owners are taken down: what they call would be gone.
+    // Jobs in progress call back into the services, which are destroyed before the disk thread.
     if (disk_) {
         disk_->stop();
     }
@@ -78,8 +77,8 @@
                    [this] { return static_cast<double>(traffic_.received); });
     metrics_.gauge("cardamompost_log_lines_dropped", {}, [this] { return static_cast<double>(log_.dropped()); });
     waitForSignal();
-    nextReread_ = std::chrono::steady_clock::now() + rereadInterval;
-    keepFlushing();
+    nextSeedReload_ = std::chrono::steady_clock::now() + seedReloadInterval;
+    runPeriodicTasks();
     return settings_.role == GatewayRole::Entry ? startEntry() : startLedger();
 }
 
@@ -91,15 +90,13 @@
 
 Result<void> Gateway::startLedger()
 {
-    // Guards against a limit on the size of files, whose signal would end the process without a word; the write that
-    // it refuses fails by itself.
+    // By default, exceeding the file size limit kills the process. With the signal ignored, the write fails instead.
     std::signal(SIGXFSZ, SIG_IGN);
     const Result<void> opened = openDisk();
     if (!opened && opened.error().kind == ErrorKind::StorageFailed) {
-        // Guards against a disk that refuses writes for a while, as a full one does: a process that ended for it would
-        // only be started and end again, and one that stayed without it would be lost for good.
+        // A disk may reject writes temporarily, as when it is full. Retrying avoids a restart loop.
         log_.write(LogLevel::Error, "disk.failed", {{"error", opened.error().message}});
-        startLedgerLater();
+        scheduleLedgerStart();
         return boost::outcome_v2::success();
     }
     BOOST_OUTCOME_TRYV(opened);
@@ -137,33 +134,32 @@
     return boost::outcome_v2::success();
 }
 
-void Gateway::startLedgerLater()
+void Gateway::scheduleLedgerStart()
 {
-    startTimer_.expires_after(diskRetryInterval);
-    startTimer_.async_wait([this](const boost::system::error_code &error) {
+    ledgerStartTimer_.expires_after(diskRetryInterval);
+    ledgerStartTimer_.async_wait([this](const boost::system::error_code &error) {
         if (error || isDraining_) {
             return;
         }
         const Result<void> started = startLedger();
         if (!started) {
             log_.write(LogLevel::Error, "process.failed", {{"error", started.error().message}});
-            endWith(exitStartFailed);
+            exitWith(exitStartFailed);
         }
     });
 }
 
-void Gateway::endIfDiskFailed()
+void Gateway::exitIfDiskFailed()
 {
-    // Guards against a member that stays silent for good after its disk refused one write: it shows as a VM that runs
-    // and holds nothing, and the next loss is one too many. After a failed sync, what the files hold is only known by
-    // reading them anew, which a new process does.
+    // A member without a disk would keep running but could store nothing, which lowers the group's fault tolerance.
+    // After a failed sync the state of the files is unknown, so a new process has to recover from them.
     if (disk_ && !disk_->isHealthy()) {
         log_.write(LogLevel::Error, "process.failed", {{"error", "the disk has failed"}});
-        endWith(exitDiskFailed);
+        exitWith(exitDiskFailed);
     }
 }
 
-void Gateway::endWith(int exitCode)
+void Gateway::exitWith(int exitCode)
 {
     exitCode_ = exitCode;
     log_.flush();
@@ -200,7 +196,8 @@
     } else if (const auto *texts = std::get_if<TurnTextsRequest>(&body)) {
         ledger_->onTurnTexts(*texts, replier);
     } else {
-        replier->reply(FailureReply {makeError(ErrorKind::InvalidRequest, "not a request to a ledger VM")});
+        replier->reply(FailureReply {
+            makeError(ErrorKind::InvalidRequest, "the message is not a request that a ledger VM handles")});
     }
 }
 
@@ -214,26 +211,26 @@
     });
 }
 
-void Gateway::noteStall()
+void Gateway::logIfStalled()
 {
-    const std::chrono::nanoseconds awake = timeSinceBoot();
-    const auto gap = std::chrono::duration_cast<Milliseconds>(awake - lastAwake_);
-    if (lastAwake_.count() != 0 && gap > flushInterval + stallAtLeast) {
+    const std::chrono::nanoseconds uptime = timeSinceBoot();
+    const auto gap = std::chrono::duration_cast<Milliseconds>(uptime - lastPeriodicRun_);
+    if (lastPeriodicRun_.count() != 0 && gap > periodicInterval + minReportedStall) {
         log_.warn("process.stalled", {{"ms", gap.count()}});
     }
-    lastAwake_ = awake;
+    lastPeriodicRun_ = uptime;
 }
 
-void Gateway::keepFlushing()
+void Gateway::runPeriodicTasks()
 {
-    noteStall();
-    endIfDiskFailed();
-    rereadSeedsIfLost();
+    logIfStalled();
+    exitIfDiskFailed();
+    reloadSeedsIfLeaderless();
     log_.flush();
-    flushTimer_.expires_after(flushInterval);
-    flushTimer_.async_wait([this](const boost::system::error_code &error) {
+    periodicTimer_.expires_after(periodicInterval);
+    periodicTimer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            keepFlushing();
+            runPeriodicTasks();
         }
     });
 }
@@ -255,40 +252,39 @@
 
 void Gateway::reloadSettings()
 {
-    const std::optional<GatewaySettings> fresh = reload_();
-    log_.info("process.reload", {{"readable", fresh.has_value()}});
-    if (!fresh) {
+    const std::optional<GatewaySettings> newSettings = reload_();
+    log_.info("process.reload", {{"readable", newSettings.has_value()}});
+    if (!newSettings) {
         return;
     }
-    setSeeds(fresh->seeds);
+    setSeeds(newSettings->seeds);
 }
 
 void Gateway::setSeeds(std::vector<Address> seeds)
 {
-    // Addresses and role are the process's own for its life; only where others are to be found may change.
+    // Only seeds can be changed without a restart.
     settings_.seeds = std::move(seeds);
     if (entry_) {
         entry_->setSeeds(settings_.seedPeers());
     }
 }
 
-void Gateway::rereadSeedsIfLost()
+void Gateway::reloadSeedsIfLeaderless()
 {
-    const bool isLost = entry_ ? !entry_->hasLeader() : ledger_ && ledger_->leader().empty();
+    const bool isLeaderless = entry_ ? !entry_->hasLeader() : ledger_ && ledger_->leader().empty();
     const TimePoint now = std::chrono::steady_clock::now();
-    if (!isLost) {
-        nextReread_ = now + rereadInterval;
+    if (!isLeaderless) {
+        nextSeedReload_ = now + seedReloadInterval;
     }
-    if (now < nextReread_) {
+    if (now < nextSeedReload_) {
         return;
     }
-    // Guards against seeds that were exchanged without a signal, after which those known may all be gone: the process
-    // would ask them for good, although its settings name others.
-    nextReread_ = now + rereadInterval;
-    const std::optional<GatewaySettings> fresh = reload_();
-    if (fresh && fresh->seeds != settings_.seeds) {
+    // Seeds may have been replaced in the settings without a signal, and the known ones may be gone.
+    nextSeedReload_ = now + seedReloadInterval;
+    const std::optional<GatewaySettings> newSettings = reload_();
+    if (newSettings && newSettings->seeds != settings_.seeds) {
         log_.info("process.reload", {{"readable", true}});
-        setSeeds(fresh->seeds);
+        setSeeds(newSettings->seeds);
     }
 }
 
@@ -300,18 +296,18 @@
 
 asio::awaitable<void> Gateway::drainEntry()
 {
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     entry_->drain();
-    bool isOver = false;
-    while (!isOver) {
-        co_await sleepFor(drainPoll);
-        const auto since = std::chrono::steady_clock::now() - begun;
-        if (since >= std::min(serveAtLeast, (settings_.grace - graceMargin) / 2)) {
-            // Guards the requests of callers whose answer of the directory lives longer: what comes shortly before the
-            // end of the grace period would be cut. A connection that is refused costs them a moment.
+    bool isDone = false;
+    while (!isDone) {
+        co_await sleepFor(drainPollInterval);
+        const auto elapsed = std::chrono::steady_clock::now() - startedAt;
+        if (elapsed >= std::min(minDrainTime, (settings_.grace - shutdownMargin) / 2)) {
+            // Requests that arrive just before the end of the grace period would be cut off. Callers whose directory
+            // response is cached for longer retry elsewhere when their connection is refused.
             entry_->stopAccepting();
         }
-        isOver = (since >= serveAtLeast && entry_->isIdle()) || since >= settings_.grace - graceMargin;
+        isDone = (elapsed >= minDrainTime && entry_->isIdle()) || elapsed >= settings_.grace - shutdownMargin;
     }
     log_.info("process.stopped", {{"idle", entry_->isIdle()}});
     io_.stop();
@@ -320,18 +316,18 @@
 asio::awaitable<void> Gateway::drainLedger()
 {
     if (!ledger_) {
-        // It still waits for its disk.
+        // The disk could not be opened yet.
         io_.stop();
         co_return;
     }
     ledger_->handOver();
-    co_await sleepFor(handOverTime);
+    co_await sleepFor(leadershipTransferTime);
     api_->stop();
     directory_->stop();
     listReader_->stop();
     ledger_->stop();
     log_.info("process.stopped", {{"idle", true}});
-    co_await sleepFor(drainPoll);
+    co_await sleepFor(drainPollInterval);
     io_.stop();
 }
 
--- a/src/gateway/cp_gateway.hpp
+++ b/src/gateway/cp_gateway.hpp
@@ -11,13 +11,13 @@
 namespace cardamompost
 {
 
-//! One process of the gateway, from its start to its end.
+//! A gateway process: runs one role from startup through graceful shutdown.
 class Gateway
 {
 public:
-    //! \param reload  reads the settings anew, as after SIGHUP; nothing when they can't be read
+    //! Reads the settings again, as on SIGHUP; nothing if they are invalid.
     using Reload = std::function<std::optional<GatewaySettings>()>;
-    //! Opens a ledger VM's data folder.
+    //! Opens the data folder of a ledger VM.
     using OpenFolder = std::function<Result<std::unique_ptr<IFiles>>(const std::string &folder)>;
 
     Gateway(GatewaySettings settings, std::unique_ptr<const IPlatformAdapter> adapter, Reload reload,
@@ -26,17 +26,17 @@
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    //! Errors: InvalidConfiguration for an address, StorageFailed, StorageCorrupt.
+    //! Errors: InvalidConfiguration if an address can't be bound, StorageFailed, StorageCorrupt.
     Result<void> start();
-    //! Runs until the process has been asked to end and has ended its work, or has to end. \returns the exit code
+    //! Runs until shutdown or a fatal error. \returns the exit code
     int run();
-    //! The disk has failed: what it holds has to be read anew, by a new process.
+    //! The disk has failed; a new process has to recover from it.
     static constexpr int exitDiskFailed = 5;
-    //! What it waited for at the start came, and then it could not start.
+    //! A start that was retried in the background has failed.
     static constexpr int exitStartFailed = 4;
-    //! Does what the signal to the process does; from any thread.
+    //! Handles a signal as if it was sent to the process. Thread-safe.
     void deliver(int signal);
-    //! Ends run() at once, as a kill would; from any thread.
+    //! Makes run() return at once, without a graceful shutdown. Thread-safe.
     void stop()
     {
         io_.stop();
@@ -45,21 +45,21 @@
 private:
     Result<void> startEntry();
     Result<void> startLedger();
-    //! Opens the disk. Errors: StorageFailed, StorageCorrupt.
+    //! Errors: StorageFailed, StorageCorrupt.
     Result<void> openDisk();
-    void startLedgerLater();
-    //! Ends the process once its disk has failed.
-    void endIfDiskFailed();
-    void endWith(int exitCode);
+    //! Starts the ledger again after a delay.
+    void scheduleLedgerStart();
+    void exitIfDiskFailed();
+    void exitWith(int exitCode);
     [[nodiscard]] static Result<std::unique_ptr<IFiles>> openPosixFolder(const std::string &folder);
     void waitForSignal();
-    void keepFlushing();
-    //! Says so when this process, or its VM, stood still since it was last called.
-    void noteStall();
+    void runPeriodicTasks();
+    //! Logs a warning if the process or its VM was suspended since the last call.
+    void logIfStalled();
     void onSignal(int signal);
     void reloadSettings();
-    //! Takes other seeds from settings that changed without a signal, while no leader is known.
-    void rereadSeedsIfLost();
+    //! Checks the settings for changed seeds while no leader is known.
+    void reloadSeedsIfLeaderless();
     void setSeeds(std::vector<Address> seeds);
     void drain();
     boost::asio::awaitable<void> drainEntry();
@@ -72,8 +72,8 @@
     OpenFolder openFolder_;
     boost::asio::io_context io_;
     boost::asio::signal_set signals_;
-    boost::asio::steady_timer flushTimer_;
-    boost::asio::steady_timer startTimer_;
+    boost::asio::steady_timer periodicTimer_;
+    boost::asio::steady_timer ledgerStartTimer_;
     EventLog log_;
     MetricRegistry metrics_;
     PeerTraffic traffic_;
@@ -87,8 +87,8 @@
     std::unique_ptr<EntryServer> entry_;
     bool isDraining_ = false;
     int exitCode_ = 0;
-    std::chrono::nanoseconds lastAwake_ {0};
-    TimePoint nextReread_ {};
+    std::chrono::nanoseconds lastPeriodicRun_ {0};
+    TimePoint nextSeedReload_ {};
 };
 
 } // namespace cardamompost
--- a/src/gateway/cp_gateway_settings.cpp
+++ b/src/gateway/cp_gateway_settings.cpp
@@ -8,28 +8,28 @@
 namespace
 {
 
-constexpr std::int64_t maxLosses = 4;
+constexpr std::int64_t maxToleratedLosses = 4;
 constexpr std::int64_t defaultGraceMs = 8000;
 constexpr std::int64_t defaultLifetimeMs = 300;
-constexpr std::int64_t defaultLifetimeDarkMs = 3000;
+constexpr std::int64_t defaultLifetimeUnreachableMs = 3000;
 constexpr std::int64_t defaultListIntervalMs = 800;
 constexpr std::int64_t defaultRevocationMs = 5000;
 constexpr double maxLimitWindowSeconds = 600;
-constexpr double maxLimitOverRequests = 1'000'000;
-constexpr std::int64_t maxTimeMs = 600'000;
+constexpr double maxExcessRequests = 1'000'000;
+constexpr std::int64_t maxDurationMs = 600'000;
 constexpr std::int64_t defaultMemoryMb = 128;
 constexpr std::int64_t minMemoryMb = 32;
 constexpr std::int64_t maxMemoryMb = 1'000'000;
 constexpr std::int64_t maxPort = 65'535;
 
-void readRole(SectionReader &reader, GatewaySettings &settings)
+void readRoleSettings(SectionReader &reader, GatewaySettings &settings)
 {
     const std::string role = reader.requiredText("role");
-    const std::optional<GatewayRole> known = valueOf(gatewayRoleNames, role);
-    if (!known) {
+    const std::optional<GatewayRole> parsedRole = valueOf(gatewayRoleNames, role);
+    if (!parsedRole) {
         reader.fault("role", fmt::format("'{}' is neither 'entry' nor 'ledger'", role));
     }
-    settings.role = known.value_or(GatewayRole::Entry);
+    settings.role = parsedRole.value_or(GatewayRole::Entry);
     if (settings.role == GatewayRole::Entry) {
         settings.front = reader.address("front");
         settings.ready = reader.address("ready");
@@ -41,36 +41,36 @@
     settings.dataFolder = reader.requiredText("data_folder");
 }
 
-void readGateway(const IniSection &section, GatewaySettingsResult &result)
+void readGatewaySection(const IniSection &section, GatewaySettingsResult &result)
 {
     SectionReader reader(section, result.faults);
     GatewaySettings &settings = result.settings;
-    const auto time = [&](std::string_view key, std::int64_t fallback) {
-        return Milliseconds(reader.integer(key, fallback, 1, maxTimeMs));
+    const auto duration = [&](std::string_view key, std::int64_t fallback) {
+        return Milliseconds(reader.integer(key, fallback, 1, maxDurationMs));
     };
     settings.vm = reader.requiredText("vm");
     settings.failureDomain = reader.requiredText("failure_domain");
     settings.peer = reader.address("peer");
     settings.peerListen = reader.text("peer_listen").empty() ? settings.peer : reader.address("peer_listen");
-    readRole(reader, settings);
+    readRoleSettings(reader, settings);
     settings.seedPort = static_cast<std::uint16_t>(reader.integer("seed_port", 0, 0, maxPort));
     settings.isFirstStart = reader.boolean("first_start", false);
-    settings.lossesToBear = static_cast<unsigned>(reader.integer("losses_to_bear", 1, 0, maxLosses));
+    settings.toleratedLosses = static_cast<unsigned>(reader.integer("losses_to_bear", 1, 0, maxToleratedLosses));
     settings.memoryBytes
         = static_cast<std::size_t>(reader.integer("memory_mb", defaultMemoryMb, minMemoryMb, maxMemoryMb)) << 20U;
-    settings.grace = time("grace_ms", defaultGraceMs);
-    settings.directoryLifetime = time("directory_lifetime_ms", defaultLifetimeMs);
-    settings.directoryLifetimeDark = time("directory_lifetime_dark_ms", defaultLifetimeDarkMs);
-    settings.listInterval = time("list_interval_ms", defaultListIntervalMs);
-    settings.revocationTime = time("revocation_ms", defaultRevocationMs);
+    settings.grace = duration("grace_ms", defaultGraceMs);
+    settings.directoryLifetime = duration("directory_lifetime_ms", defaultLifetimeMs);
+    settings.directoryLifetimeUnreachable = duration("directory_lifetime_dark_ms", defaultLifetimeUnreachableMs);
+    settings.listInterval = duration("list_interval_ms", defaultListIntervalMs);
+    settings.revocationTime = duration("revocation_ms", defaultRevocationMs);
     settings.failsClosed = reader.boolean("fail_closed", false);
-    settings.limitPrecision.window = std::chrono::duration_cast<Milliseconds>(
+    settings.limitTolerance.window = std::chrono::duration_cast<Milliseconds>(
         std::chrono::duration<double>(reader.number("limit_window_s", 0, 0, maxLimitWindowSeconds)));
-    settings.limitPrecision.excessShare = reader.number("limit_over_share", 0, 0, 1);
-    settings.limitPrecision.excessRequests = reader.number("limit_over_requests", 0, 0, maxLimitOverRequests);
+    settings.limitTolerance.excessShare = reader.number("limit_over_share", 0, 0, 1);
+    settings.limitTolerance.excessRequests = reader.number("limit_over_requests", 0, 0, maxExcessRequests);
     settings.logFile = reader.text("log_file", "-");
     settings.logLevel = reader.text("log_level", "info");
-    // The other role's addresses may stand there, so that one template serves both.
+    // Keys of the other role are accepted, so that one template serves both.
     for (const std::string_view key : {"front", "ready", "control", "directory", "backend_list", "data_folder"}) {
         static_cast<void>(reader.text(key));
     }
@@ -97,7 +97,7 @@
     for (const IniSection &section : document.sections()) {
         if (section.kind == "gateway") {
             hasGateway = true;
-            readGateway(section, result);
+            readGatewaySection(section, result);
         } else if (section.kind == "seed") {
             SectionReader reader(section, result.faults);
             result.settings.seeds.push_back(reader.address("address"));
--- a/src/gateway/cp_gateway_settings.hpp
+++ b/src/gateway/cp_gateway_settings.hpp
@@ -10,11 +10,11 @@
 namespace cardamompost
 {
 
-//! What a process of the gateway does.
+//! Role of a gateway process.
 enum class GatewayRole {
-    //! Takes callers' requests and sends them to backend servers.
+    //! Forwards callers' requests to backend servers.
     Entry,
-    //! Holds the ledger, answers operators and the directory.
+    //! Replicates the ledger; serves the operators' interface and the directory.
     Ledger,
 };
 
@@ -23,58 +23,58 @@
     Named {GatewayRole::Ledger, "ledger"},
 };
 
-//! What a process of the gateway learns before it meets any other.
+//! Local settings of a gateway process.
 struct GatewaySettings {
     VmName vm;
     std::string failureDomain;
     GatewayRole role = GatewayRole::Entry;
-    //! Where the system's other processes connect.
+    //! Address at which other gateway processes connect.
     Address peer;
-    //! Where it listens for them, if that is another address, as behind a forwarder.
+    //! Address to listen on for them, if different, as behind a port forwarder.
     Address peerListen;
-    //! Entry: where callers connect, and where the platform asks whether it is ready.
+    //! Entry: addresses for callers and for the platform's readiness checks.
     Address front;
     Address ready;
-    //! Ledger: where operators connect, and where callers ask for entries.
+    //! Ledger: addresses of the operators' interface and of the directory.
     Address control;
     Address directory;
-    //! Where the list of backend servers is read.
+    //! Ledger: address from which the list of backend servers is read.
     Address backendList;
     Milliseconds listInterval {0};
     std::string dataFolder;
-    //! What the process may take before its VM ends it.
+    //! Memory limit of the process.
     std::size_t memoryBytes = 0;
-    //! True only when the whole system starts for the first time.
+    //! True only for the first start of the whole system, which creates the ledger.
     bool isFirstStart = false;
-    //! Ledger VMs that may be lost at once.
-    unsigned lossesToBear = 1;
-    //! From SIGTERM until the process is killed.
+    //! Number of simultaneous losses of ledger VMs to tolerate.
+    unsigned toleratedLosses = 1;
+    //! Time from SIGTERM until the process is killed.
     Milliseconds grace {0};
-    //! How long callers may keep an answer of the directory.
+    //! How long callers may cache a directory response.
     Milliseconds directoryLifetime {0};
-    //! The same while a directory near those callers is dark.
-    Milliseconds directoryLifetimeDark {0};
-    //! An entry that has not heard of the ledger for so long takes no request with a key, if it fails closed.
+    //! The same if all directories of the caller's failure domain are unreachable.
+    Milliseconds directoryLifetimeUnreachable {0};
+    //! Time without updates from the ledger after which an entry that fails closed rejects requests with a key.
     Milliseconds revocationTime {0};
     bool failsClosed = false;
-    //! How exactly accounts' limits are kept.
-    LimitTolerance limitPrecision;
+    //! Tolerance for exceeding accounts' limits.
+    LimitTolerance limitTolerance;
     //! "-" for standard output.
     std::string logFile = "-";
     std::string logLevel;
-    //! Ledger VMs to ask first.
+    //! Ledger VMs to contact first.
     std::vector<Address> seeds;
-    //! Stands in for the seeds' own ports where those are not the ones for peers; 0 for none.
+    //! Replaces the seeds' ports if those are not the peer ports; 0 for no replacement.
     std::uint16_t seedPort = 0;
 
-    //! Room for what turns said lately; all of it is on disk too.
+    //! Size of the cache for texts of recent turns, which are stored on disk too.
     [[nodiscard]] std::size_t textCacheBytes() const
     {
-        return memoryBytes / shareForTexts;
+        return memoryBytes / textCacheMemoryDivisor;
     }
-    static constexpr std::size_t shareForTexts = 8;
+    static constexpr std::size_t textCacheMemoryDivisor = 8;
 
-    //! Seeds' names in the ledger's group.
+    //! The seeds' names as peers.
     [[nodiscard]] std::vector<VmName> seedPeers() const;
 };
 
@@ -83,7 +83,7 @@
     std::vector<ConfigFault> faults;
 };
 
-//! Settings, or all faults of the text at once.
+//! Parses the settings and collects all faults of the text.
 [[nodiscard]] GatewaySettingsResult parseGatewaySettings(std::string_view text);
 
 } // namespace cardamompost
--- a/src/gateway/cp_ledger_client.cpp
+++ b/src/gateway/cp_ledger_client.cpp
@@ -224,7 +224,7 @@
         hasLeader_ = true;
         parts_.log.info("ledger.found", {{"leader", leader_}, {"news_age_ms", age.count()}});
     }
-    staleness_.noteNewest(update.documentVersion, lastUpdate_);
+    staleness_.recordLatestVersion(update.documentVersion, lastUpdate_);
     onUpdate_(update);
     const bool lacksList = known_.list < update.list;
     if (!staleness_.isStale() && !lacksList) {
@@ -240,7 +240,7 @@
     known_.list = known.list;
     known_.documentDigests = std::move(known.documentDigests);
     known_.listDigests = std::move(known.listDigests);
-    staleness_.noteInForce(known.documentVersion);
+    staleness_.recordAppliedVersion(known.documentVersion);
 }
 
 void LedgerClient::tellPresence(bool isReady)
--- a/src/gateway/cp_ledger_client.hpp
+++ b/src/gateway/cp_ledger_client.hpp
@@ -117,7 +117,7 @@
     }
     //! Time since a leader last answered.
     [[nodiscard]] Milliseconds updateAge() const;
-    [[nodiscard]] const DocumentStaleness &lag() const
+    [[nodiscard]] const DocumentStaleness &staleness() const
     {
         return staleness_;
     }
--- a/src/gateway/cp_ledger_service.hpp
+++ b/src/gateway/cp_ledger_service.hpp
@@ -197,7 +197,7 @@
     [[nodiscard]] MemberCandidates candidates() const;
     [[nodiscard]] std::size_t desiredVoters() const
     {
-        return 2 * parts_.settings.lossesToBear + 1;
+        return 2 * parts_.settings.toleratedLosses + 1;
     }
     void logRole();
     [[nodiscard]] std::vector<VmName> knownPeers() const;
--- a/src/gateway/cp_ledger_updates.cpp
+++ b/src/gateway/cp_ledger_updates.cpp
@@ -42,7 +42,7 @@
 
 void LedgerService::onPresence(const Presence &presence)
 {
-    if (presence_.note(presence, std::chrono::steady_clock::now())) {
+    if (presence_.record(presence, std::chrono::steady_clock::now())) {
         parts_.log.info("entry.presence", {{"entry", presence.vm}, {"ready", presence.isReady}});
     }
 }
--- a/src/gateway/cp_list_reader.cpp
+++ b/src/gateway/cp_list_reader.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-constexpr Milliseconds idlePoll {50};
-constexpr Milliseconds retryPause {250};
-constexpr Milliseconds callTimeout {700};
+constexpr Milliseconds leadershipPollInterval {50};
+constexpr Milliseconds retryDelay {250};
+constexpr Milliseconds requestTimeout {700};
 constexpr unsigned statusOk = 200;
 constexpr int maxPages = 1000;
 
@@ -38,17 +38,17 @@
 {
     while (!isStopped_) {
         if (!parts_.service.leads()) {
-            co_await sleepFor(idlePoll);
+            co_await sleepFor(leadershipPollInterval);
             continue;
         }
         const Result<std::vector<BackendServer>> read = co_await readAll();
-        note(read);
-        // Another may lead by now; what was read then belongs to nobody.
+        recordResult(read);
+        // Leadership may have been lost while the list was read.
         if (read && parts_.service.leads()) {
             parts_.service.setBackends(read.value());
         }
-        const Milliseconds pause = read ? parts_.settings.listInterval : retryPause;
-        co_await sleepFor(pause);
+        const Milliseconds delay = read ? parts_.settings.listInterval : retryDelay;
+        co_await sleepFor(delay);
     }
 }
 
@@ -62,14 +62,15 @@
         HttpCall call;
         call.address = parts_.settings.backendList;
         call.target = parts_.adapter.backendsTarget(page);
-        call.timeout = callTimeout;
+        call.timeout = requestTimeout;
         calls_.add();
         const Result<HttpResponse> response = co_await client_.request(std::move(call));
         if (!response) {
             co_return response.error();
         }
         if (response.value().status != statusOk) {
-            co_return makeError(ErrorKind::BackendFailed, "status " + std::to_string(response.value().status));
+            co_return makeError(ErrorKind::BackendFailed,
+                                "unexpected status " + std::to_string(response.value().status));
         }
         Result<BackendPage> read = parts_.adapter.readBackends(response.value().body);
         if (!read) {
@@ -100,17 +101,17 @@
     lastSkipped_ = skipped;
 }
 
-void ListReader::note(const Result<std::vector<BackendServer>> &read)
+void ListReader::recordResult(const Result<std::vector<BackendServer>> &read)
 {
     if (!read) {
         failures_.add();
     }
-    if (!read && !hadFailure_) {
+    if (!read && !isFailing_) {
         parts_.log.warn("list.lost", {{"error", read.error().message}});
-    } else if (read && hadFailure_) {
+    } else if (read && isFailing_) {
         parts_.log.info("list.regained", {{"servers", read.value().size()}});
     }
-    hadFailure_ = !read.has_value();
+    isFailing_ = !read.has_value();
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_list_reader.hpp
+++ b/src/gateway/cp_list_reader.hpp
@@ -9,7 +9,8 @@
 namespace cardamompost
 {
 
-//! Reads the platform's list of backend servers while this VM leads the ledger, and hands it to the ledger service.
+//! Polls the platform's list of backend servers while this VM is the ledger's leader, and passes it to the ledger
+//! service.
 class ListReader
 {
 public:
@@ -32,9 +33,12 @@
 
 private:
     boost::asio::awaitable<void> run();
+    //! Reads all pages. Errors: those of the HTTP client and of the adapter; BackendFailed for an error status.
     boost::asio::awaitable<Result<std::vector<BackendServer>>> readAll();
+    //! Counts list entries that could not be parsed, and logs when their number changes.
     void reportSkipped(std::size_t skipped, const std::string &reason);
-    void note(const Result<std::vector<BackendServer>> &read);
+    //! Counts a failure, and logs when reading starts to fail or recovers.
+    void recordResult(const Result<std::vector<BackendServer>> &read);
 
     Parts parts_;
     HttpClient client_;
@@ -42,7 +46,7 @@
     Counter &skipped_;
     Counter &failures_;
     bool isStopped_ = false;
-    bool hadFailure_ = false;
+    bool isFailing_ = false;
     std::size_t lastSkipped_ = 0;
 };
 
--- a/src/gateway/cp_peer_clients.hpp
+++ b/src/gateway/cp_peer_clients.hpp
@@ -8,7 +8,7 @@
 namespace cardamompost
 {
 
-//! Clients to the gateway's other processes, by their address. Thread-safety: none; one thread uses it.
+//! Clients of the gateway's other processes, created on first use. Thread-safety: none.
 class PeerClients
 {
 public:
@@ -18,7 +18,7 @@
     {
     }
 
-    //! Null for a name that is no address.
+    //! Null if the name is not a valid address.
     [[nodiscard]] std::shared_ptr<PeerClient> client(const VmName &peer)
     {
         auto &client = clients_[peer];
--- a/src/gateway/cp_presence_table.cpp
+++ b/src/gateway/cp_presence_table.cpp
@@ -5,34 +5,35 @@
 namespace cardamompost
 {
 
-bool PresenceTable::note(const Presence &presence, TimePoint now)
+bool PresenceTable::record(const Presence &presence, TimePoint now)
 {
-    Item &item = items_[presence.vm];
-    const bool hasChanged = item.presence.address != presence.address || item.presence.isReady != presence.isReady;
-    item.presence = presence;
+    Member &member = members_[presence.vm];
+    const bool hasChanged = member.presence.address != presence.address || member.presence.isReady != presence.isReady;
+    member.presence = presence;
     if (hasChanged) {
-        item.gaps.restart(now);
+        member.detector.restart(now);
     } else {
-        item.gaps.observe(now);
+        member.detector.observe(now);
     }
-    item.at = now;
-    lastHeard_ = now;
+    member.lastHeartbeat = now;
+    lastHeartbeat_ = now;
     return hasChanged;
 }
 
-bool PresenceTable::isSilent(const Item &item, TimePoint now) const
+bool PresenceTable::isSuspected(const Member &member, TimePoint now) const
 {
-    // Guards against a VM that stood still itself and takes everybody else for silent: what counts is how long others
-    // were heard and this one was not. Somebody who is the only one, or silent for very long, is silent all the same.
-    return lastHeard_ - item.at >= item.gaps.suspicionTimeout() || now - item.at >= entrySilence.ceiling;
+    // Measured against the last heartbeat of any member, so that a directory that was suspended itself does not suspect
+    // all of them. The ceiling covers a lone member.
+    return lastHeartbeat_ - member.lastHeartbeat >= member.detector.suspicionTimeout()
+        || now - member.lastHeartbeat >= entrySuspicion.ceiling;
 }
 
 std::vector<EntryPlace> PresenceTable::ready(TimePoint now) const
 {
     std::vector<EntryPlace> places;
-    for (const auto &[vm, item] : items_) {
-        if (item.presence.isReady && !isSilent(item, now)) {
-            places.push_back({item.presence.address, item.presence.failureDomain});
+    for (const auto &[vm, member] : members_) {
+        if (member.presence.isReady && !isSuspected(member, now)) {
+            places.push_back({member.presence.address, member.presence.failureDomain});
         }
     }
     std::sort(places.begin(), places.end(),
@@ -42,31 +43,31 @@
 
 double PresenceTable::unreachableShare(std::string_view failureDomain, TimePoint now) const
 {
-    double known = 0;
-    double dark = 0;
-    for (const auto &[vm, item] : items_) {
-        const auto silence = now - item.at;
-        if (item.presence.isDirectory && item.presence.failureDomain == failureDomain && silence < goneAfter) {
-            known += 1;
-            dark += silence >= unreachableAfter ? 1 : 0;
+    double total = 0;
+    double unreachable = 0;
+    for (const auto &[vm, member] : members_) {
+        const auto silence = now - member.lastHeartbeat;
+        if (member.presence.isDirectory && member.presence.failureDomain == failureDomain && silence < forgottenAfter) {
+            total += 1;
+            unreachable += silence >= unreachableAfter ? 1 : 0;
         }
     }
-    return known == 0 ? 0 : dark / known;
+    return total == 0 ? 0 : unreachable / total;
 }
 
 std::vector<std::string> addressesFor(std::string_view failureDomain, const std::vector<EntryPlace> &entries,
-                                      std::size_t most)
+                                      std::size_t maxCount)
 {
-    std::vector<std::string> near;
-    std::vector<std::string> far;
+    std::vector<std::string> addresses;
+    std::vector<std::string> remote;
     for (const EntryPlace &entry : entries) {
-        (entry.failureDomain == failureDomain ? near : far).push_back(entry.address);
+        (entry.failureDomain == failureDomain ? addresses : remote).push_back(entry.address);
     }
-    near.insert(near.end(), far.begin(), far.end());
-    if (near.size() > most) {
-        near.resize(most);
+    addresses.insert(addresses.end(), remote.begin(), remote.end());
+    if (addresses.size() > maxCount) {
+        addresses.resize(maxCount);
     }
-    return near;
+    return addresses;
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_presence_table.hpp
+++ b/src/gateway/cp_presence_table.hpp
@@ -10,44 +10,42 @@
 namespace cardamompost
 {
 
-//! Which entries take requests and which directories answer, as they said themselves within the last seconds.
-//! Thread-safety: none.
+//! Entries and directories by their last heartbeat, with failure detection. Thread-safety: none.
 class PresenceTable
 {
 public:
-    //! An entry that was silent for longer than usual, between these, gets no new callers.
-    static constexpr SuspicionBounds entrySilence {Milliseconds(250), Milliseconds(900)};
+    //! Bounds of the time without a heartbeat after which an entry is suspected and left out of the directory.
+    static constexpr SuspicionBounds entrySuspicion {Milliseconds(250), Milliseconds(900)};
 
-    //! From so long a silence on a directory is dark: each caller that asks it waits for a second in vain.
+    //! Time without a heartbeat after which a directory counts as unreachable.
     static constexpr Milliseconds unreachableAfter {600};
-    //! One that was silent for longer will not come back at its address, and callers know it no more.
-    static constexpr Milliseconds goneAfter {20'000};
+    //! Time without a heartbeat after which a directory is ignored.
+    static constexpr Milliseconds forgottenAfter {20'000};
 
-    //! \returns true when the entry is new, or has changed what it says
-    bool note(const Presence &presence, TimePoint now);
-    //! In order of their addresses.
+    //! Records a heartbeat. \returns true if the sender is new, or its address or readiness has changed
+    bool record(const Presence &presence, TimePoint now);
+    //! Entries that are ready and not suspected, sorted by address.
     [[nodiscard]] std::vector<EntryPlace> ready(TimePoint now) const;
-    //! Of a failure domain's directories, the share that is dark, 0 to 1.
+    //! Share of a failure domain's directories that are unreachable, 0 to 1.
     [[nodiscard]] double unreachableShare(std::string_view failureDomain, TimePoint now) const;
 
 private:
-    struct Item {
+    struct Member {
         Presence presence;
-        TimePoint at {};
-        SilenceDetector gaps {entrySilence};
+        TimePoint lastHeartbeat {};
+        SilenceDetector detector {entrySuspicion};
     };
 
-    [[nodiscard]] bool isSilent(const Item &item, TimePoint now) const;
+    [[nodiscard]] bool isSuspected(const Member &member, TimePoint now) const;
 
-    std::map<VmName, Item> items_;
-    //! When anybody was heard last.
-    TimePoint lastHeard_ {};
+    std::map<VmName, Member> members_;
+    //! Time of the last heartbeat of any member.
+    TimePoint lastHeartbeat_ {};
 };
 
-//! Addresses of entries, those of a failure domain first.
-//! \param most  no more than so many
+//! At most maxCount addresses of entries, those in the given failure domain first.
 [[nodiscard]] std::vector<std::string> addressesFor(std::string_view failureDomain,
-                                                    const std::vector<EntryPlace> &entries, std::size_t most);
+                                                    const std::vector<EntryPlace> &entries, std::size_t maxCount);
 
 } // namespace cardamompost
 
--- a/src/gateway/cp_request_head.cpp
+++ b/src/gateway/cp_request_head.cpp
@@ -22,17 +22,18 @@
     return {text.data(), text.size()};
 }
 
-bool isSame(std::string_view left, std::string_view right)
+bool equalsIgnoringCase(std::string_view left, std::string_view right)
 {
     return beast::iequals({left.data(), left.size()}, {right.data(), right.size()});
 }
 
 bool isOneOf(std::string_view name, const std::vector<std::string> &names)
 {
-    return std::any_of(names.begin(), names.end(), [&](const std::string &other) { return isSame(name, other); });
+    return std::any_of(names.begin(), names.end(),
+                       [&](const std::string &other) { return equalsIgnoringCase(name, other); });
 }
 
-//! Headers that concern one connection only, whatever the message says of them.
+//! Headers that apply to a single connection (RFC 9110, 7.6.1), and those that the gateway sets itself.
 bool isHopByHop(http::field field)
 {
     switch (field) {
@@ -53,7 +54,7 @@
     }
 }
 
-//! Names that the message's own Connection header makes hop-by-hop.
+//! Names listed in the Connection header, which are hop-by-hop too.
 template<typename Fields>
 std::vector<std::string> connectionNames(const Fields &fields)
 {
@@ -82,45 +83,44 @@
     text += "\r\n";
 }
 
-// Of milliseconds or tokens; sums of many stay far from where numbers end.
-constexpr std::int64_t maxJsonInteger = 1'000'000'000'000;
-// Requests that one server can run or queue; a report of more is none.
-constexpr std::int64_t mostRequests = 1'000'000;
-// Seconds; no connection rests longer, whatever a server says.
-constexpr std::int64_t longestKeepAlive = 3600;
+// Milliseconds or tokens; keeps sums far from integer overflow.
+constexpr std::int64_t maxHeaderNumber = 1'000'000'000'000;
+// Running or queued requests; a report of more is rejected as malformed.
+constexpr std::int64_t maxReportedRequests = 1'000'000;
+constexpr std::int64_t maxKeepAliveSeconds = 3600;
 
-//! A header's number; nothing when there is no such header, or it can't be read, which is noted.
+//! Parses a header's number; nothing if the header is absent or malformed. Records a malformed one in the metadata.
 template<typename Fields>
-std::optional<std::int64_t> headerNumber(const Fields &fields, const std::string &name, RequestFacts &facts)
+std::optional<std::int64_t> headerNumber(const Fields &fields, const std::string &name, RequestMetadata &metadata)
 {
     if (fields.find(name) == fields.end()) {
         return std::nullopt;
     }
     const std::optional<std::int64_t> number = readNumber(headerValue(fields, name));
     if (!number) {
-        facts.fault = name;
+        metadata.malformedHeader = name;
     }
     return number;
 }
 
-void readTimes(const CallerRequest &request, const HeaderNames &names, RequestFacts &facts)
+void parseTimeouts(const CallerRequest &request, const HeaderNames &names, RequestMetadata &metadata)
 {
-    if (const auto callerTimeout = headerNumber(request, names.deadline, facts)) {
-        facts.callerTimeout = Milliseconds(std::max<std::int64_t>(*callerTimeout, 0));
+    if (const auto callerTimeout = headerNumber(request, names.deadline, metadata)) {
+        metadata.callerTimeout = Milliseconds(std::max<std::int64_t>(*callerTimeout, 0));
     }
-    if (const auto left = headerNumber(request, names.programTimeLeft, facts)) {
-        facts.programTimeLeft = Milliseconds(*left);
+    if (const auto timeLeft = headerNumber(request, names.programTimeLeft, metadata)) {
+        metadata.programTimeLeft = Milliseconds(*timeLeft);
     }
 }
 
-//! Guards the budgets: what can't be read must not stand for "no bound" or "costs nothing", and a turn that costs less
-//! than nothing would give back what others have reserved.
-void readTokens(const CallerRequest &request, const HeaderNames &names, RequestFacts &facts)
+//! Rejects malformed and negative values: they must not count as no budget or no cost, and a negative cost would
+//! release tokens that other turns have reserved.
+void parseTokenCounts(const CallerRequest &request, const HeaderNames &names, RequestMetadata &metadata)
 {
-    if (const auto budget = headerNumber(request, names.tokenBudget, facts)) {
-        facts.budget = *budget;
+    if (const auto budget = headerNumber(request, names.tokenBudget, metadata)) {
+        metadata.budget = *budget;
         if (*budget < 0) {
-            facts.fault = names.tokenBudget;
+            metadata.malformedHeader = names.tokenBudget;
         }
     }
     if (request.find(names.tokenUsage) == request.end()) {
@@ -131,11 +131,11 @@
     const auto in = readNumber(usage.substr(0, comma));
     const auto out = comma == std::string_view::npos ? std::nullopt : readNumber(usage.substr(comma + 1));
     if (!in || !out || *in < 0 || *out < 0) {
-        facts.fault = names.tokenUsage;
+        metadata.malformedHeader = names.tokenUsage;
         return;
     }
-    facts.tokensIn = *in;
-    facts.tokensOutAtMost = *out;
+    metadata.tokensIn = *in;
+    metadata.maxOutputTokens = *out;
 }
 
 } // namespace
@@ -151,7 +151,7 @@
     std::int64_t number = 0;
     const char *last = text.data() + text.size();
     auto [end, error] = std::from_chars(text.data(), last, number);
-    if (error != std::errc() || number > maxJsonInteger || number < -maxJsonInteger) {
+    if (error != std::errc() || number > maxHeaderNumber || number < -maxHeaderNumber) {
         return std::nullopt;
     }
     if (end != last && *end == '.') {
@@ -166,12 +166,12 @@
     if (counts.size() < 2) {
         return std::nullopt;
     }
-    // Guards against a server that reports nonsense: below 0, it would look as busy as can be and get nothing any more.
-    const auto isSound
-        = [](std::optional<std::int64_t> count) { return count && *count >= 0 && *count <= mostRequests; };
+    // A negative count would wrap to a huge load, and the server would get no more requests.
+    const auto isValid
+        = [](std::optional<std::int64_t> count) { return count && *count >= 0 && *count <= maxReportedRequests; };
     const auto running = readNumber(counts[0]);
     const auto waiting = readNumber(counts[1]);
-    if (!isSound(running) || !isSound(waiting)) {
+    if (!isValid(running) || !isValid(waiting)) {
         return std::nullopt;
     }
     return LoadReport {static_cast<unsigned>(*running), static_cast<unsigned>(*waiting)};
@@ -180,27 +180,27 @@
 std::optional<Milliseconds> readKeepAlive(std::string_view text)
 {
     constexpr std::string_view key = "timeout=";
-    const std::size_t at = text.find(key);
-    if (at == std::string_view::npos) {
+    const std::size_t position = text.find(key);
+    if (position == std::string_view::npos) {
         return std::nullopt;
     }
-    const std::string_view value = text.substr(at + key.size());
+    const std::string_view value = text.substr(position + key.size());
     const auto seconds = readNumber(value.substr(0, value.find_first_of(", ")));
-    return std::chrono::seconds(std::clamp<std::int64_t>(seconds.value_or(0), 0, longestKeepAlive));
+    return std::chrono::seconds(std::clamp<std::int64_t>(seconds.value_or(0), 0, maxKeepAliveSeconds));
 }
 
-RequestFacts readFacts(const CallerRequest &request, const HeaderNames &names)
+RequestMetadata parseRequestMetadata(const CallerRequest &request, const HeaderNames &names)
 {
-    RequestFacts facts;
-    facts.id = headerValue(request, names.requestId);
-    facts.program = headerValue(request, names.program);
-    facts.session = headerValue(request, names.session);
-    facts.previousTurn = headerValue(request, names.previousTurn);
-    facts.lastEventId = headerValue(request, names.lastEventId);
-    facts.affinity = headerValue(request, names.affinity);
-    readTimes(request, names, facts);
-    readTokens(request, names, facts);
-    return facts;
+    RequestMetadata metadata;
+    metadata.id = headerValue(request, names.requestId);
+    metadata.program = headerValue(request, names.program);
+    metadata.session = headerValue(request, names.session);
+    metadata.previousTurn = headerValue(request, names.previousTurn);
+    metadata.lastEventId = headerValue(request, names.lastEventId);
+    metadata.affinity = headerValue(request, names.affinity);
+    parseTimeouts(request, names, metadata);
+    parseTokenCounts(request, names, metadata);
+    return metadata;
 }
 
 std::optional<KeyHash> readKeyHash(const CallerRequest &request, const HeaderNames &names)
@@ -214,7 +214,7 @@
     return isOneKey ? std::optional(hashKey(key)) : std::nullopt;
 }
 
-std::string makeBackendHead(const CallerRequest &request, const HeaderNames &names, const SendFacts &facts)
+std::string makeBackendHead(const CallerRequest &request, const HeaderNames &names, const BackendHeadOptions &options)
 {
     const std::vector<std::string> dropped = connectionNames(request);
     std::string text;
@@ -225,28 +225,30 @@
     text += " HTTP/1.1\r\n";
     for (const auto &field : request) {
         const std::string_view name = view(field.name_string());
-        const bool isOwn = isSame(name, names.deadline) || isSame(name, names.expectedInstance)
-            || isSame(name, names.priority) || isOneOf(name, names.reserved)
-            || (!facts.lastEventId.empty() && isSame(name, names.lastEventId))
-            || (facts.hidesKeys && (isSame(name, names.accessKey) || isSame(name, names.account)));
-        if (!isOwn && !isHopByHop(field.name()) && !isOneOf(name, dropped)) {
+        const bool isExcluded = equalsIgnoringCase(name, names.deadline)
+            || equalsIgnoringCase(name, names.expectedInstance) || equalsIgnoringCase(name, names.priority)
+            || isOneOf(name, names.reserved)
+            || (!options.lastEventId.empty() && equalsIgnoringCase(name, names.lastEventId))
+            || (options.stripsCredentials
+                && (equalsIgnoringCase(name, names.accessKey) || equalsIgnoringCase(name, names.account)));
+        if (!isExcluded && !isHopByHop(field.name()) && !isOneOf(name, dropped)) {
             addHeader(text, name, view(field.value()));
         }
     }
-    addHeader(text, names.deadline, fmt::to_string(facts.timeLeft.count()));
-    addHeader(text, names.expectedInstance, facts.expectedInstance);
-    if (!facts.account.empty()) {
-        addHeader(text, names.account, facts.account);
+    addHeader(text, names.deadline, fmt::to_string(options.timeLeft.count()));
+    addHeader(text, names.expectedInstance, options.expectedInstance);
+    if (!options.account.empty()) {
+        addHeader(text, names.account, options.account);
     }
-    if (facts.priority >= 0) {
-        addHeader(text, names.priority, fmt::to_string(facts.priority));
+    if (options.priority >= 0) {
+        addHeader(text, names.priority, fmt::to_string(options.priority));
     }
-    if (!facts.lastEventId.empty()) {
-        addHeader(text, names.lastEventId, facts.lastEventId);
+    if (!options.lastEventId.empty()) {
+        addHeader(text, names.lastEventId, options.lastEventId);
     }
     const bool mayHaveBody = request.method() != http::verb::get && request.method() != http::verb::head;
-    if (mayHaveBody || facts.bodyBytes != 0) {
-        addHeader(text, "Content-Length", fmt::to_string(facts.bodyBytes));
+    if (mayHaveBody || options.bodyBytes != 0) {
+        addHeader(text, "Content-Length", fmt::to_string(options.bodyBytes));
     }
     text += "\r\n";
     return text;
@@ -258,7 +260,7 @@
     std::string text = fmt::format("HTTP/1.1 {} {}\r\n", header.result_int(), view(header.reason()));
     for (const auto &field : header) {
         const std::string_view name = view(field.name_string());
-        if (!isHopByHop(field.name()) && !isOneOf(name, dropped) && !isSame(name, names.serverLoad)) {
+        if (!isHopByHop(field.name()) && !isOneOf(name, dropped) && !equalsIgnoringCase(name, names.serverLoad)) {
             addHeader(text, name, view(field.value()));
         }
     }
--- a/src/gateway/cp_request_head.hpp
+++ b/src/gateway/cp_request_head.hpp
@@ -13,77 +13,76 @@
 namespace cardamompost
 {
 
-//! What the system reads from a caller's headers.
-struct RequestFacts {
+//! Request metadata parsed from a caller's headers.
+struct RequestMetadata {
     std::string id;
     std::string program;
     std::string session;
     std::string previousTurn;
-    //! How long the caller waits; nothing when it does not say.
+    //! The caller's timeout, if given.
     std::optional<Milliseconds> callerTimeout;
-    //! Until the program should be finished; below 0 when it is late.
+    //! Time until the program's deadline; negative once it has passed.
     std::optional<Milliseconds> programTimeLeft;
-    //! Negative for none.
+    //! The program's token budget; negative for none.
     std::int64_t budget = -1;
     std::int64_t tokensIn = 0;
-    std::int64_t tokensOutAtMost = 0;
+    std::int64_t maxOutputTokens = 0;
     std::string lastEventId;
-    //! The same for requests that concern the same object; empty when the caller does not say.
+    //! Key shared by requests for the same object; empty for none.
     std::string affinity;
-    //! The name of a header that can't be read; empty when all can.
-    std::string fault;
+    //! Name of a malformed header; empty if there is none.
+    std::string malformedHeader;
 };
 
-[[nodiscard]] RequestFacts readFacts(const CallerRequest &request, const HeaderNames &names);
+[[nodiscard]] RequestMetadata parseRequestMetadata(const CallerRequest &request, const HeaderNames &names);
 
-//! Of the access key; nothing for a request without one, or with several that differ.
+//! Hash of the access key; nothing if there is no key, or several different ones.
 [[nodiscard]] std::optional<KeyHash> readKeyHash(const CallerRequest &request, const HeaderNames &names);
 
-//! What the system adds for one backend server.
-struct SendFacts {
+//! How the head of a request to a backend server differs from the caller's.
+struct BackendHeadOptions {
     std::string_view expectedInstance;
     Milliseconds timeLeft {0};
-    //! 0 to 9, where 0 goes first; negative for none.
+    //! 0 (highest) to 9; negative for none.
     int priority = -1;
-    //! Where a stream goes on; empty for a stream from its start.
+    //! Id of the event after which to resume a stream; empty to start from the beginning.
     std::string_view lastEventId;
     std::size_t bodyBytes = 0;
-    //! Keys and accounts are the system's: what the caller says of them is not passed on.
-    bool hidesKeys = false;
-    //! Of the client account; empty for an anonymous request.
+    //! Removes the caller's access key and account headers.
+    bool stripsCredentials = false;
+    //! Name of the client account; empty for an anonymous request.
     std::string_view account;
 };
 
-//! The request line and headers for a backend server, with the empty line.
+//! Formats the request line and headers for a backend server, including the empty line.
+//! Hop-by-hop headers and those reserved for the gateway are not forwarded.
 [[nodiscard]] std::string makeBackendHead(const CallerRequest &request, const HeaderNames &names,
-                                          const SendFacts &facts);
+                                          const BackendHeadOptions &options);
 
-//! How an answer's body is framed towards the caller.
+//! How the body of a response to the caller is framed.
 struct BodyFraming {
-    //! Nothing means chunks.
+    //! Nothing for chunked encoding.
     std::optional<std::uint64_t> length;
     bool keepsOpen = true;
 };
 
-//! The status line and headers for the caller, with the empty line.
+//! Formats the status line and headers for the caller, including the empty line.
 [[nodiscard]] std::string makeCallerHead(const boost::beast::http::response_header<> &header, const HeaderNames &names,
                                          const BodyFraming &framing);
 
-//! A number, without its fraction; nothing for any other text, as one with anything behind the number, and for numbers
-//! that no header here can mean.
+//! Parses a decimal number and drops its fraction; nothing if the text is malformed or the number out of range.
 [[nodiscard]] std::optional<std::int64_t> readNumber(std::string_view text);
 
-//! What a backend server says of itself beside an answer.
+//! Load that a backend server reports with a response.
 struct LoadReport {
     unsigned running = 0;
     unsigned waiting = 0;
 };
 
-//! Reads "running,waiting" and whatever follows; nothing for other text, or counts that no server can have.
+//! Parses "running,waiting", ignoring further items; nothing if malformed or out of range.
 [[nodiscard]] std::optional<LoadReport> readLoad(std::string_view text);
 
-//! For how long a Keep-Alive header says that an idle connection is kept; nothing when it does not say, 0 when that
-//! can't be read.
+//! Parses the timeout of a Keep-Alive header; nothing if it has none, 0 if it is malformed.
 [[nodiscard]] std::optional<Milliseconds> readKeepAlive(std::string_view text);
 
 } // namespace cardamompost
--- a/src/gateway/cp_request_report.cpp
+++ b/src/gateway/cp_request_report.cpp
@@ -48,7 +48,7 @@
     boost::json::monotonic_resource memory(space.data(), space.size());
     boost::json::object line(&memory);
     line.reserve(logLineFields);
-    line["id"] = request.facts.id;
+    line["id"] = request.metadata.id;
     line["status"] = request.status;
     line["cause"] = request.cause;
     line["ms"] = ms;
@@ -56,7 +56,7 @@
     line["news_age_ms"] = parts_.ledger.updateAge().count();
     if (request.route != nullptr) {
         line["route"] = request.route->name;
-        line["program"] = request.facts.program;
+        line["program"] = request.metadata.program;
         if (!request.account.empty()) {
             line["account"] = request.account;
         }
@@ -67,8 +67,8 @@
         if (request.begin || request.isLimited) {
             line["waited_ms"] = request.admissionTime.count();
         }
-        if (request.facts.programTimeLeft) {
-            line["left_ms"] = request.facts.programTimeLeft->count();
+        if (request.metadata.programTimeLeft) {
+            line["left_ms"] = request.metadata.programTimeLeft->count();
         }
         line["sends"] = request.sends;
         line["runs"] = request.runs;
--- a/tests/gateway/cp_request_head.tests.cpp
+++ b/tests/gateway/cp_request_head.tests.cpp
@@ -50,23 +50,23 @@
 
 BOOST_AUTO_TEST_SUITE(request_head)
 
-BOOST_AUTO_TEST_CASE(what_the_caller_says_is_read)
+BOOST_AUTO_TEST_CASE(request_metadata_is_parsed_from_headers)
 {
-    const RequestFacts facts
-        = readFacts(parse("POST /a/ HTTP/1.1\r\nx-id: 9c\r\nX-Deadline: 4000\r\nX-Usage: 1460,80\r\n"
-                          "X-Budget: 2320\r\nX-Left: -50\r\nX-Previous: p\r\n\r\n"),
-                    testNames());
-    BOOST_TEST(facts.id == "9c");
-    BOOST_TEST(facts.callerTimeout->count() == 4000);
-    BOOST_TEST(facts.tokensIn == 1460);
-    BOOST_TEST(facts.tokensOutAtMost == 80);
-    BOOST_TEST(facts.budget == 2320);
-    BOOST_TEST(facts.programTimeLeft->count() == -50);
-    BOOST_TEST(facts.previousTurn == "p");
+    const RequestMetadata metadata
+        = parseRequestMetadata(parse("POST /a/ HTTP/1.1\r\nx-id: 9c\r\nX-Deadline: 4000\r\nX-Usage: 1460,80\r\n"
+                                     "X-Budget: 2320\r\nX-Left: -50\r\nX-Previous: p\r\n\r\n"),
+                               testNames());
+    BOOST_TEST(metadata.id == "9c");
+    BOOST_TEST(metadata.callerTimeout->count() == 4000);
+    BOOST_TEST(metadata.tokensIn == 1460);
+    BOOST_TEST(metadata.maxOutputTokens == 80);
+    BOOST_TEST(metadata.budget == 2320);
+    BOOST_TEST(metadata.programTimeLeft->count() == -50);
+    BOOST_TEST(metadata.previousTurn == "p");
 }
 
-// A number with something behind it, or none at all, was read as far as it went: a budget "ten" stood for no bound.
-BOOST_AUTO_TEST_CASE(a_number_is_read_whole_or_not_at_all)
+// A malformed number must not be parsed up to its first invalid character: a budget of "ten" would mean no budget.
+BOOST_AUTO_TEST_CASE(a_number_is_parsed_completely_or_rejected)
 {
     BOOST_TEST(readNumber("4000").value() == 4000);
     BOOST_TEST(readNumber(" 4000 ").value() == 4000);
@@ -77,23 +77,23 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_header_that_cannot_be_read_is_named)
+BOOST_AUTO_TEST_CASE(a_malformed_header_is_reported_by_name)
 {
-    const auto faultOf = [](const std::string &header) {
-        return readFacts(parse("POST /a/ HTTP/1.1\r\n" + header + "\r\n\r\n"), testNames()).fault;
+    const auto malformedHeaderOf = [](const std::string &header) {
+        return parseRequestMetadata(parse("POST /a/ HTTP/1.1\r\n" + header + "\r\n\r\n"), testNames()).malformedHeader;
     };
-    BOOST_TEST(faultOf("X-Budget: 10").empty());
-    BOOST_TEST(faultOf("X-Budget: ten") == "X-Budget");
-    BOOST_TEST(faultOf("X-Budget: -1") == "X-Budget");
-    BOOST_TEST(faultOf("X-Usage: 1460") == "X-Usage");
-    BOOST_TEST(faultOf("X-Usage: 1460,-80") == "X-Usage");
-    BOOST_TEST(faultOf("X-Deadline: soon") == "X-Deadline");
-    BOOST_TEST(faultOf("X-Left: -50").empty());
-    BOOST_TEST(faultOf("X-Left: late") == "X-Left");
+    BOOST_TEST(malformedHeaderOf("X-Budget: 10").empty());
+    BOOST_TEST(malformedHeaderOf("X-Budget: ten") == "X-Budget");
+    BOOST_TEST(malformedHeaderOf("X-Budget: -1") == "X-Budget");
+    BOOST_TEST(malformedHeaderOf("X-Usage: 1460") == "X-Usage");
+    BOOST_TEST(malformedHeaderOf("X-Usage: 1460,-80") == "X-Usage");
+    BOOST_TEST(malformedHeaderOf("X-Deadline: soon") == "X-Deadline");
+    BOOST_TEST(malformedHeaderOf("X-Left: -50").empty());
+    BOOST_TEST(malformedHeaderOf("X-Left: late") == "X-Left");
 }
 
-// A server reported "-3" running requests, and looked as busy as can be for good: it got no request any more.
-BOOST_AUTO_TEST_CASE(a_report_of_load_that_makes_no_sense_is_none)
+// A negative count would wrap to a huge load, and the server would get no more requests.
+BOOST_AUTO_TEST_CASE(an_invalid_load_report_is_rejected)
 {
     const std::optional<LoadReport> load = readLoad("3, 1, 8");
     BOOST_REQUIRE(load.has_value());
@@ -104,7 +104,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_time_for_which_connections_are_kept_is_never_out_of_bounds)
+BOOST_AUTO_TEST_CASE(a_keep_alive_timeout_is_clamped_to_its_bounds)
 {
     BOOST_TEST(readKeepAlive("timeout=5, max=100")->count() == 5000);
     BOOST_TEST(readKeepAlive("max=100, timeout=7")->count() == 7000);
@@ -115,20 +115,20 @@
     BOOST_TEST(readKeepAlive("timeout=999999999")->count() == 3'600'000);
 }
 
-// A caller sets what only the system may set, by name or through its Connection header, and names a deadline that has
-// partly passed: a replica would run the request under another's reservation, or work longer than anybody waits.
-BOOST_AUTO_TEST_CASE(headers_that_are_the_systems_or_one_connections_are_not_passed_on)
+// Forwarding a caller's reserved headers could run a request under another's reservation, and forwarding its original
+// deadline could run it for longer than the caller waits.
+BOOST_AUTO_TEST_CASE(reserved_and_hop_by_hop_headers_are_not_forwarded)
 {
     const CallerRequest request
         = parse("POST /a/b?c=1 HTTP/1.1\r\nHost: h\r\nX-Id: 9c\r\nX-Hold: 1\r\nX-Deadline: 4000\r\n"
                 "X-Priority: 0\r\nConnection: keep-alive, X-Secret\r\nX-Secret: s\r\n"
                 "Transfer-Encoding: chunked\r\nX-Other: o\r\n\r\n0\r\n\r\n");
-    SendFacts facts;
-    facts.expectedInstance = "i-1";
-    facts.timeLeft = Milliseconds(3500);
-    facts.priority = 5;
-    facts.bodyBytes = 12;
-    const std::string head = makeBackendHead(request, testNames(), facts);
+    BackendHeadOptions options;
+    options.expectedInstance = "i-1";
+    options.timeLeft = Milliseconds(3500);
+    options.priority = 5;
+    options.bodyBytes = 12;
+    const std::string head = makeBackendHead(request, testNames(), options);
     BOOST_TEST(head.starts_with("POST /a/b?c=1 HTTP/1.1\r\n"));
     BOOST_TEST(has(head, "X-Id: 9c\r\n"));
     BOOST_TEST(has(head, "X-Other: o\r\n"));
@@ -144,22 +144,22 @@
     BOOST_TEST(head.ends_with("\r\n\r\n"));
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_keeps_its_status_and_headers_but_not_its_framing)
+BOOST_AUTO_TEST_CASE(a_response_keeps_its_status_and_headers_but_not_its_framing)
 {
-    http::response<http::empty_body> answer(static_cast<http::status>(500), 11);
-    answer.set("X-Signature", "s");
-    answer.set("X-Load", "1,0,8");
-    answer.set(http::field::connection, "close");
-    answer.set(http::field::content_length, "3");
-    const std::string whole = makeCallerHead(answer.base(), testNames(), {3, true});
-    BOOST_TEST(whole.starts_with("HTTP/1.1 500 "));
-    BOOST_TEST(has(whole, "X-Signature: s\r\n"));
-    BOOST_TEST(has(whole, "Content-Length: 3\r\n"));
-    BOOST_TEST(!has(whole, "X-Load"));
-    BOOST_TEST(!has(whole, "close"));
-    const std::string streamed = makeCallerHead(answer.base(), testNames(), {std::nullopt, false});
-    BOOST_TEST(has(streamed, "Transfer-Encoding: chunked\r\n"));
-    BOOST_TEST(has(streamed, "Connection: close\r\n"));
+    http::response<http::empty_body> response(static_cast<http::status>(500), 11);
+    response.set("X-Signature", "s");
+    response.set("X-Load", "1,0,8");
+    response.set(http::field::connection, "close");
+    response.set(http::field::content_length, "3");
+    const std::string fixedLength = makeCallerHead(response.base(), testNames(), {3, true});
+    BOOST_TEST(fixedLength.starts_with("HTTP/1.1 500 "));
+    BOOST_TEST(has(fixedLength, "X-Signature: s\r\n"));
+    BOOST_TEST(has(fixedLength, "Content-Length: 3\r\n"));
+    BOOST_TEST(!has(fixedLength, "X-Load"));
+    BOOST_TEST(!has(fixedLength, "close"));
+    const std::string chunked = makeCallerHead(response.base(), testNames(), {std::nullopt, false});
+    BOOST_TEST(has(chunked, "Transfer-Encoding: chunked\r\n"));
+    BOOST_TEST(has(chunked, "Connection: close\r\n"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/cp_entry_replica.tests.cpp
+++ b/tests/platform/cp_entry_replica.tests.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-//! An entry's parts without its sockets; news are handed to it as a leader would answer.
+//! An entry's replica without its sockets; updates are passed in as replies of a leader.
 struct Entry {
     boost::asio::io_context io;
     GatewaySettings settings;
@@ -23,13 +23,13 @@
     Forwarder forwarder {{io, adapter, settings, pool, ledger, log, metrics}};
     EntryReplica replica {{forwarder, pool, ledger, log}};
 
-    void take(std::uint64_t version, ContentDelta delta)
+    void apply(std::uint64_t version, ContentDelta delta)
     {
         UpdateReply reply;
         reply.isLeader = true;
         reply.documentVersion = version;
         reply.documentDelta = std::move(delta);
-        replica.take(reply);
+        replica.apply(reply);
     }
     [[nodiscard]] std::uint64_t version() const
     {
@@ -55,66 +55,65 @@
     return buckets;
 }
 
-constexpr std::size_t someRoutes = 500;
-constexpr std::size_t smallAnswer = 5000;
+constexpr std::size_t routeCount = 500;
+constexpr std::size_t maxReplyBytes = 5000;
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(entry_news)
+BOOST_AUTO_TEST_SUITE(entry_replica)
 
-// A long document comes in several answers. An entry that went by the first of them would refuse callers of routes that
-// are on their way.
-BOOST_AUTO_TEST_CASE(a_document_is_in_force_once_all_of_it_has_come)
+// A long document is sent in several replies. Applying only the first would reject requests for the routes in the
+// others.
+BOOST_AUTO_TEST_CASE(a_document_is_applied_once_it_is_complete)
 {
     Entry entry;
-    const DocumentBuckets leader = bucketsOf(someRoutes);
-    DocumentBuckets held;
-    for (ContentDelta delta = leader.differing({}, smallAnswer); delta.rest > 0;
-         delta = leader.differing(held.digests(), smallAnswer)) {
-        BOOST_REQUIRE(held.take(delta.buckets).has_value());
-        entry.take(5, std::move(delta));
+    const DocumentBuckets leader = bucketsOf(routeCount);
+    DocumentBuckets received;
+    for (ContentDelta delta = leader.differing({}, maxReplyBytes); delta.rest > 0;
+         delta = leader.differing(received.digests(), maxReplyBytes)) {
+        BOOST_REQUIRE(received.take(delta.buckets).has_value());
+        entry.apply(5, std::move(delta));
         BOOST_TEST(entry.version() == 0U);
     }
-    entry.take(5, leader.differing(held.digests(), smallAnswer));
+    entry.apply(5, leader.differing(received.digests(), maxReplyBytes));
     BOOST_TEST(entry.version() == 5U);
     BOOST_TEST(entry.forwarder.table()->hasRoute("r-0"));
     BOOST_TEST(entry.forwarder.table()->hasRoute("r-499"));
 }
 
-// Two different buckets happen to have one digest, which is short: the leader takes the entry's for its own and leaves
-// it out. The entry would go by a mixture of two documents for good. What it holds is not the whole that the leader
-// speaks of, so it holds nothing any more and gets everything anew.
-BOOST_AUTO_TEST_CASE(parts_that_do_not_make_the_whole_are_never_in_force)
+// If two different buckets share a digest, the leader omits one from its delta. Without the checksum, the entry would
+// apply a mixture of two documents.
+BOOST_AUTO_TEST_CASE(buckets_that_do_not_match_the_checksum_are_not_applied)
 {
     Entry entry;
-    entry.take(5, bucketsOf(someRoutes).differing({}));
-    const DocumentBuckets next = bucketsOf(someRoutes, Milliseconds(5000));
-    ContentDelta lacking = next.differing(bucketsOf(someRoutes).digests());
-    BOOST_REQUIRE(lacking.buckets.size() > 1U);
-    lacking.buckets.pop_back();
-    entry.take(6, lacking);
+    entry.apply(5, bucketsOf(routeCount).differing({}));
+    const DocumentBuckets next = bucketsOf(routeCount, Milliseconds(5000));
+    ContentDelta incomplete = next.differing(bucketsOf(routeCount).digests());
+    BOOST_REQUIRE(incomplete.buckets.size() > 1U);
+    incomplete.buckets.pop_back();
+    entry.apply(6, incomplete);
     BOOST_TEST(entry.version() == 5U);
-    entry.take(6, next.differing({}));
+    entry.apply(6, next.differing({}));
     BOOST_TEST(entry.version() == 6U);
 }
 
-// A leader that was replaced still answers, with an older document.
-BOOST_AUTO_TEST_CASE(an_older_document_takes_no_newer_ones_place)
+// A deposed leader may still reply with an older document.
+BOOST_AUTO_TEST_CASE(an_older_document_does_not_replace_a_newer_one)
 {
     Entry entry;
-    entry.take(6, bucketsOf(2).differing({}));
-    entry.take(5, bucketsOf(1).differing({}));
+    entry.apply(6, bucketsOf(2).differing({}));
+    entry.apply(5, bucketsOf(1).differing({}));
     BOOST_TEST(entry.version() == 6U);
     BOOST_TEST(entry.forwarder.table()->hasRoute("r-1"));
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_bucket_leave_the_document_in_force)
+BOOST_AUTO_TEST_CASE(a_malformed_bucket_leaves_the_current_document_in_place)
 {
     Entry entry;
-    entry.take(5, bucketsOf(2).differing({}));
-    entry.take(6, {{{0, "nonsense"}}, 0, 0});
+    entry.apply(5, bucketsOf(2).differing({}));
+    entry.apply(6, {{{0, "nonsense"}}, 0, 0});
     BOOST_TEST(entry.version() == 5U);
-    entry.take(6, bucketsOf(3).differing({}));
+    entry.apply(6, bucketsOf(3).differing({}));
     BOOST_TEST(entry.version() == 6U);
 }
 
--- a/tools/gateway_ablation.py
+++ b/tools/gateway_ablation.py
@@ -23,7 +23,7 @@
     "elections by observed gaps": (SERVICE, "shortestElectionTimeout {100}", "shortestElectionTimeout {300}"),
     "a new leader tells entries": ("src/gateway/cp_ledger_client.cpp", "    watchMembers();\n", ""),
     "longer answers near dark directories": (
-        "src/gateway/cp_gateway_settings.cpp", "defaultLifetimeDarkMs = 3000", "defaultLifetimeDarkMs = 300"),
+        "src/gateway/cp_gateway_settings.cpp", "defaultLifetimeUnreachableMs = 3000", "defaultLifetimeUnreachableMs = 300"),
     "silence of entries out of their own pattern": (
         "src/gateway/cp_presence_table.hpp", "Milliseconds(250), Milliseconds(900)", "Milliseconds(900), Milliseconds(900)"),
     "mute servers are left out": (FORWARDER, "unresponsiveAfter {900}", "unresponsiveAfter {900'000}"),
