--- a/src/gateway/cp_ledger_client.cpp
+++ b/src/gateway/cp_ledger_client.cpp
@@ -226,7 +226,7 @@
         hasLeader_ = true;
         parts_.log.info("ledger.found", {{"leader", leader_}, {"news_age_ms", age.count()}});
     }
-    staleness_.noteNewest(update.documentVersion, lastUpdate_);
+    staleness_.recordLatestVersion(update.documentVersion, lastUpdate_);
     onUpdate_(update);
     const bool isListStale = updateRequest_.list < update.list;
     if (!staleness_.isStale() && !isListStale) {
@@ -242,7 +242,7 @@
     updateRequest_.list = content.list;
     updateRequest_.documentDigests = std::move(content.documentDigests);
     updateRequest_.listDigests = std::move(content.listDigests);
-    staleness_.noteInForce(content.documentVersion);
+    staleness_.recordAppliedVersion(content.documentVersion);
 }
 
 void LedgerClient::announcePresence(bool isReady)
