--- a/tests/platform/cp_platform_adapter.tests.cpp
+++ b/tests/platform/cp_platform_adapter.tests.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-const std::string wholeDocument = R"({"version":7,"routes":[
+const std::string completeDocument = R"({"version":7,"routes":[
  {"name":"r1","host":"h.example","path-prefix":"/a/","kind":"streaming","timeout-ms":4000,"target-latency-ms":250,
   "priority":1,"traffic-split":[{"service":"s1","weight":90},{"service":"s2","weight":10}],"max-attempts":1,
   "retains-context":true,"retention-s":60.0,"sticky-sessions":true,"resumable":false,"target-gap-ms":200},
@@ -18,11 +18,11 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(platform_dialect)
+BOOST_AUTO_TEST_SUITE(platform_adapter)
 
-BOOST_AUTO_TEST_CASE(a_whole_document_is_read)
+BOOST_AUTO_TEST_CASE(a_complete_document_is_read)
 {
-    const RouteDocument document = PlatformAdapter().readDocument(wholeDocument).value();
+    const RouteDocument document = PlatformAdapter().readDocument(completeDocument).value();
     BOOST_TEST(document.version == 7U);
     BOOST_REQUIRE(document.routes.size() == 2U);
     const Route &route = document.routes[0];
@@ -37,19 +37,19 @@
     BOOST_TEST(checkRouteDocument(document).has_value());
 }
 
-// An operator's transfer breaks off, or a script writes half a document. Taken as it is, it would drop routes in use.
-BOOST_AUTO_TEST_CASE(a_document_that_is_cut_short_anywhere_is_refused)
+// Guards against a partial upload that would drop routes in use.
+BOOST_AUTO_TEST_CASE(a_truncated_document_is_rejected)
 {
     const PlatformAdapter adapter;
-    for (std::size_t size = 0; size < wholeDocument.size(); ++size) {
-        BOOST_TEST(!adapter.readDocument(std::string_view(wholeDocument).substr(0, size)).has_value());
+    for (std::size_t size = 0; size < completeDocument.size(); ++size) {
+        BOOST_TEST(!adapter.readDocument(std::string_view(completeDocument).substr(0, size)).has_value());
     }
     BOOST_TEST(!adapter.readDocument(R"({"version":7,"routes":[]})").has_value());
     BOOST_TEST(
         !adapter.readDocument(R"({"version":7,"services":[],"routes":[{"name":"r","kind":"odd"}]})").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_page_of_the_list_is_read)
+BOOST_AUTO_TEST_CASE(a_page_of_the_backend_list_is_read)
 {
     const PlatformAdapter adapter;
     const BackendPage page
@@ -66,7 +66,7 @@
     BOOST_TEST(adapter.readBackends(R"({"instances":[],"next":null})").value().next.empty());
 }
 
-BOOST_AUTO_TEST_CASE(answers_are_written)
+BOOST_AUTO_TEST_CASE(responses_are_written)
 {
     const PlatformAdapter adapter;
     BOOST_TEST(adapter.writeDirectory({"10.0.0.1:80"}, Milliseconds(2000))
@@ -74,36 +74,35 @@
     BOOST_TEST(adapter.writeRetirement(true) == R"({"state":"completed"})");
 }
 
-// A script or another version writes a document with a number that makes no sense. Taken as a default in silence, an
-// operator's time-out of "4 s" would be no time-out at all.
-BOOST_AUTO_TEST_CASE(a_field_of_another_type_or_out_of_bounds_is_refused_by_name)
+// Guards against silent defaults: a timeout of "4 s" must not become no timeout.
+BOOST_AUTO_TEST_CASE(a_field_of_a_wrong_type_or_out_of_range_is_rejected_by_name)
 {
     const PlatformAdapter adapter;
     const auto refusal = [&](const std::string &from, const std::string &to) {
-        std::string bytes = wholeDocument;
+        std::string bytes = completeDocument;
         const std::size_t at = bytes.find(from);
         BOOST_REQUIRE(at != std::string::npos);
         bytes.replace(at, from.size(), to);
         const auto document = adapter.readDocument(bytes);
         return document ? std::string() : document.error().message;
     };
-    const auto names = [&](const std::string &from, const std::string &to, const std::string &field) {
+    const auto checkRefusalNames = [&](const std::string &from, const std::string &to, const std::string &field) {
         const std::string message = refusal(from, to);
         BOOST_TEST(message.find("'" + field + "'") != std::string::npos, to << " gives: " << message);
     };
-    names(R"("timeout-ms":4000)", R"("timeout-ms":"4 s")", "timeout-ms");
-    names(R"("timeout-ms":4000)", R"("timeout-ms":-1)", "timeout-ms");
-    names(R"("timeout-ms":4000)", R"("timeout-ms":1e300)", "timeout-ms");
-    names(R"("priority":1)", R"("priority":0.5)", "priority");
-    names(R"("max-attempts":1)", R"("max-attempts":5000000000)", "max-attempts");
-    names(R"("weight":90)", R"("weight":-90)", "weight");
-    names(R"("weight":90)", R"("weight":[90])", "weight");
-    names(R"("retains-context":true)", R"("retains-context":"yes")", "retains-context");
-    names(R"("host":"h.example")", R"("host":7)", "host");
-    names(R"("version":7)", R"("version":7.5)", "version");
-    names(R"("max-connections":180)", R"("max-connections":true)", "max-connections");
-    names(R"("stride":10)", R"("stride":-10)", "stride");
-    names(R"("idle-timeout-ms":15000)", R"("idle-timeout-ms":{})", "idle-timeout-ms");
+    checkRefusalNames(R"("timeout-ms":4000)", R"("timeout-ms":"4 s")", "timeout-ms");
+    checkRefusalNames(R"("timeout-ms":4000)", R"("timeout-ms":-1)", "timeout-ms");
+    checkRefusalNames(R"("timeout-ms":4000)", R"("timeout-ms":1e300)", "timeout-ms");
+    checkRefusalNames(R"("priority":1)", R"("priority":0.5)", "priority");
+    checkRefusalNames(R"("max-attempts":1)", R"("max-attempts":5000000000)", "max-attempts");
+    checkRefusalNames(R"("weight":90)", R"("weight":-90)", "weight");
+    checkRefusalNames(R"("weight":90)", R"("weight":[90])", "weight");
+    checkRefusalNames(R"("retains-context":true)", R"("retains-context":"yes")", "retains-context");
+    checkRefusalNames(R"("host":"h.example")", R"("host":7)", "host");
+    checkRefusalNames(R"("version":7)", R"("version":7.5)", "version");
+    checkRefusalNames(R"("max-connections":180)", R"("max-connections":true)", "max-connections");
+    checkRefusalNames(R"("stride":10)", R"("stride":-10)", "stride");
+    checkRefusalNames(R"("idle-timeout-ms":15000)", R"("idle-timeout-ms":{})", "idle-timeout-ms");
     BOOST_TEST(refusal(R"("retention-s":60.0)", R"("retention-s":60.25)").empty());
     BOOST_TEST(refusal(R"("traffic-split":[)", R"("service":null,"traffic-split":[)").empty());
 }
@@ -111,7 +110,7 @@
 namespace
 {
 
-const std::string soundEntry
+const std::string validEntry
     = R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":16,"state":"ready","id":"i-1",
  "models":[{"name":"m","adapters":[]}],"born":1765000000123})";
 
@@ -122,17 +121,16 @@
 
 } // namespace
 
-// Another writer leaves an entry in the platform's list. Taken for a server, requests would go to an address that is
-// none of ours; and the servers around it must not be lost for it.
-BOOST_AUTO_TEST_CASE(an_entry_of_another_writer_names_no_server_and_the_others_hold)
+// Guards against requests to an address that is no backend server, and against losing the valid entries of the page.
+BOOST_AUTO_TEST_CASE(a_malformed_list_entry_is_skipped_and_the_others_are_kept)
 {
     const PlatformAdapter adapter;
     const auto replaced = [](const std::string &from, const std::string &to) {
-        std::string entry = soundEntry;
+        std::string entry = validEntry;
         entry.replace(entry.find(from), from.size(), to);
         return entry;
     };
-    const std::vector<std::string> foreign {
+    const std::vector<std::string> malformed {
         replaced(R"("id":"i-1")", R"("id":7)"),
         replaced(R"("id":"i-1")", R"("id":"")"),
         replaced(R"("id":"i-1",)", ""),
@@ -148,13 +146,13 @@
         "null",
         "[]",
         R"("i-1")",
-        // No JSON at all: cut short, and with bytes that are no text.
-        soundEntry.substr(0, soundEntry.size() / 2) + "}",
+        // Invalid JSON: truncated, unquoted, and with invalid UTF-8.
+        validEntry.substr(0, validEntry.size() / 2) + "}",
         R"({"id":"i-1","state":ready})",
         "{\"id\":\"\xff\xfe\",\"models\":[{\"a\":1},{\"b\":}]}",
     };
-    for (const std::string &entry : foreign) {
-        const std::string page = pageWith(soundEntry + "," + entry + "," + soundEntry);
+    for (const std::string &entry : malformed) {
+        const std::string page = pageWith(validEntry + "," + entry + "," + validEntry);
         const auto read = adapter.readBackends(page);
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(read.value().servers.size() == 2U, entry);
@@ -162,16 +160,16 @@
         BOOST_TEST(!read.value().reason.empty());
         BOOST_TEST(read.value().next == "p-50");
     }
-    const auto sound = adapter.readBackends(pageWith(soundEntry)).value();
-    BOOST_TEST(sound.skipped == 0U);
-    BOOST_TEST(sound.servers.front().incarnation == 1'765'000'000'123U);
+    const auto valid = adapter.readBackends(pageWith(validEntry)).value();
+    BOOST_TEST(valid.skipped == 0U);
+    BOOST_TEST(valid.servers.front().incarnation == 1'765'000'000'123U);
 }
 
-// With the next page unknown the list would end early, and every server behind it would count as gone.
-BOOST_AUTO_TEST_CASE(a_page_that_does_not_tell_the_next_one_is_no_page)
+// Guards against a list that ends early, which would count all later servers as gone.
+BOOST_AUTO_TEST_CASE(a_page_without_a_readable_next_page_is_rejected)
 {
     const PlatformAdapter adapter;
-    const std::string page = pageWith(soundEntry + ",{\"id\":}");
+    const std::string page = pageWith(validEntry + ",{\"id\":}");
     BOOST_TEST(adapter.readBackends(page).has_value());
     BOOST_TEST(!adapter.readBackends(page.substr(0, page.find("\"next\""))).has_value());
     BOOST_TEST(!adapter.readBackends(R"({"instances":[],"next":7})").has_value());
--- a/tests/platform/cp_platform_outages.tests.cpp
+++ b/tests/platform/cp_platform_outages.tests.cpp
@@ -8,42 +8,42 @@
 namespace
 {
 
-// Three members among two dozen ledger VMs, as where the fleet has outgrown its group.
+// Most ledger VMs are no members of the group.
 constexpr std::size_t members = 3;
-constexpr std::size_t fleet = 24;
+constexpr std::size_t ledgerVms = 24;
 
-//! A system most of whose ledger VMs are no members, with one turn served; each VM has heard of the leader.
+//! A system with more ledger VMs than members. One turn has been served, and every VM knows the leader.
 class FleetSystem : public System
 {
 public:
     FleetSystem()
     {
-        for (std::size_t i = members; i < fleet; ++i) {
+        for (std::size_t i = members; i < ledgerVms; ++i) {
             addLedger();
         }
         putDocument(3);
         const Address entry = addEntry(seeds());
         BOOST_TEST(turn(entry, "o1", {}).status == 200U);
-        for (std::size_t i = 0; i < fleet; ++i) {
+        for (std::size_t i = 0; i < ledgerVms; ++i) {
             BOOST_TEST(eventually([&] { return knowsLeader(i); }));
         }
     }
-    void losePower()
+    void crashAll()
     {
         entries.clear();
         entrySettings.clear();
         killLedgers();
     }
-    //! Whatever the settings of an entry name, it finds the group, and the plan review goes on.
-    void checkServed(const std::vector<std::size_t> &seedNumbers)
+    //! Checks that an entry with these seeds finds the leader and continues the history.
+    void checkTurnIsServed(const std::vector<std::size_t> &seedIndexes)
     {
-        std::vector<Address> named;
-        for (const std::size_t number : seedNumbers) {
-            named.push_back(ledgers[number].peer);
+        std::vector<Address> seedAddresses;
+        for (const std::size_t number : seedIndexes) {
+            seedAddresses.push_back(ledgers[number].peer);
         }
-        const Address entry = addEntry(named);
+        const Address entry = addEntry(seedAddresses);
         BOOST_TEST(turn(entry, "o2", "o1").status == 200U);
-        BOOST_TEST(stage.bodyOf("o2") == "in-o1;a-o1\nb-o1\nin-o2;");
+        BOOST_TEST(platform.bodyOf("o2") == "in-o1;a-o1\nb-o1\nin-o2;");
     }
 };
 
@@ -51,64 +51,60 @@
 
 BOOST_AUTO_TEST_SUITE(platform_outages)
 
-// Everything loses power, and a member its disk. The seeds had been exchanged: the member that is blank now, and two
-// VMs that never were members. A quorum is back within a second and leads, and every caller got 503 until the end of
-// the day: whoever asked the seeds heard of nobody else. The VMs outside of the group have to remember the way to it.
-BOOST_AUTO_TEST_CASE(after_a_loss_of_power_the_group_is_found_whomever_the_seeds_name)
+// Guards against seeds that lead to no member: one seed lost its disk, the others never were members. VMs outside of
+// the group must persist its addresses.
+BOOST_AUTO_TEST_CASE(after_a_power_loss_entries_find_the_leader_through_any_seeds)
 {
     const std::vector<std::size_t> seeds {0, 10, 11};
     FleetSystem system;
-    system.losePower();
+    system.crashAll();
     system.changeLedgerSeeds(seeds);
-    for (std::size_t i = 0; i < fleet; ++i) {
+    for (std::size_t i = 0; i < ledgerVms; ++i) {
         system.restartLedger(i, i != seeds.front());
     }
-    system.checkServed(seeds);
-    for (std::size_t i = 0; i < fleet; ++i) {
+    system.checkTurnIsServed(seeds);
+    for (std::size_t i = 0; i < ledgerVms; ++i) {
         BOOST_TEST(System::eventually([&] { return system.knowsLeader(i); }));
     }
 }
 
-// The same, and the VMs outside of the group are all new and blank: no loss that counts, since none held anything.
-// Nobody remembers anything there, and only the leader knows who they are.
-BOOST_AUTO_TEST_CASE(a_leader_calls_blank_vms_that_know_strangers_only)
+// As above, with all VMs outside of the group uninitialized: only the leader knows their addresses.
+BOOST_AUTO_TEST_CASE(the_leader_contacts_uninitialized_vms_that_know_no_member)
 {
     const std::vector<std::size_t> seeds {10, 11, 12};
     FleetSystem system;
-    system.losePower();
+    system.crashAll();
     system.changeLedgerSeeds(seeds);
-    for (std::size_t i = 0; i < fleet; ++i) {
+    for (std::size_t i = 0; i < ledgerVms; ++i) {
         system.restartLedger(i, i < members);
     }
-    system.checkServed(seeds);
-    BOOST_TEST(system.logged("ledger.called") > 0U);
+    system.checkTurnIsServed(seeds);
+    BOOST_TEST(system.logCount("ledger.called") > 0U);
 }
 
-// A VM outside of the group comes back first, alone, and an entry that has just started knows nobody else. It hears
-// whom that VM remembers, and of no leader: what the VM knows is of another hour.
-BOOST_AUTO_TEST_CASE(what_a_vm_outside_of_the_group_remembers_is_asked_and_not_obeyed)
+// Guards against a leader taken from stored addresses, which may be stale; they only say which VMs to contact.
+BOOST_AUTO_TEST_CASE(stored_member_addresses_are_contacted_but_name_no_leader)
 {
     constexpr std::size_t outside = 10;
     FleetSystem system;
     const std::string name = '"' + system.ledgers[outside].vm + '"';
-    BOOST_TEST(System::eventually([&] { return system.loggedWith("ledger.way_stored", name) > 0; }));
-    system.losePower();
+    BOOST_TEST(System::eventually([&] { return system.matchingLogCount("ledger.way_stored", name) > 0; }));
+    system.crashAll();
     system.changeLedgerSeeds({11, 12});
-    system.running.resize(fleet);
+    system.running.resize(ledgerVms);
     system.restartLedger(outside);
-    BOOST_TEST(system.loggedWith("ledger.remembered", name) == 1U);
+    BOOST_TEST(system.matchingLogCount("ledger.remembered", name) == 1U);
     system.startEntry({system.ledgers[outside].peer});
     const std::string member = system.ledgers[0].peer.toString();
-    BOOST_TEST(System::eventually([&] { return system.loggedWith("ledger.searching", member) > 0; }));
+    BOOST_TEST(System::eventually([&] { return system.matchingLogCount("ledger.searching", member) > 0; }));
     BOOST_TEST(!system.knowsLeader(outside));
     for (std::size_t i = 0; i < members; ++i) {
         system.restartLedger(i);
     }
-    system.checkServed({outside});
+    system.checkTurnIsServed({outside});
 }
 
-// The leader is lost between the turns of twelve programs. Each engine holds the histories of those that ran there; a
-// leader that did not know would send half of them to the other one, which reads all of it anew.
+// Guards against a new leader that ignores which engines hold the histories: those would be read again elsewhere.
 BOOST_AUTO_TEST_CASE(programs_stay_with_their_engines_over_a_change_of_leader)
 {
     constexpr int programs = 12;
@@ -120,7 +116,7 @@
         headers["Program"] = "program-" + std::to_string(program);
         headers["Token-Usage"] = "100,50";
         headers["Token-Budget"] = "1000";
-        return system.stage.call(entry, "POST", "/plans/1", headers, "in").status;
+        return system.platform.call(entry, "POST", "/plans/1", headers, "in").status;
     };
     for (int i = 0; i < programs; ++i) {
         BOOST_TEST(turnOf(i, "before-" + std::to_string(i)) == 200U);
@@ -128,39 +124,36 @@
     system.running[leader].reset();
     for (int i = 0; i < programs; ++i) {
         const std::string number = std::to_string(i);
-        // Asked again where the first try meets the moment without a leader.
+        // The first attempts may be refused until a new leader is elected.
         BOOST_TEST(System::eventually([&] { return turnOf(i, "after-" + number) == 200; }));
-        BOOST_TEST(system.stage.lastServerOf("after-" + number) == system.stage.lastServerOf("before-" + number));
+        BOOST_TEST(system.platform.lastServerOf("after-" + number) == system.platform.lastServerOf("before-" + number));
     }
 }
 
-// On the first day a VM that is no seed has heard of the group. It restarts with settings that still say "first start"
-// and name it among other seeds. Were it to found a group of these, there would be two systems, and each would take
-// documents.
-BOOST_AUTO_TEST_CASE(a_vm_that_remembers_a_group_founds_no_other_one)
+// Guards against a split brain: a VM outside of the group restarts with first_start still set and new seeds.
+BOOST_AUTO_TEST_CASE(a_vm_with_stored_member_addresses_founds_no_second_group)
 {
     constexpr std::size_t outside = 10;
     FleetSystem system;
     const std::string name = '"' + system.ledgers[outside].vm + '"';
-    BOOST_TEST(System::eventually([&] { return system.loggedWith("ledger.way_stored", name) > 0; }));
-    // As it was when the platform restarts a process that never joined: it remembers, and holds nothing of the log.
-    system.losePower();
+    BOOST_TEST(System::eventually([&] { return system.matchingLogCount("ledger.way_stored", name) > 0; }));
+    // This VM never joined the group: it has stored member addresses, but no log.
+    system.crashAll();
     system.changeLedgerSeeds({outside, 11, 12});
     GatewaySettings settings = system.ledgers[outside];
     settings.isFirstStart = true;
     const GatewayThread restarted(settings);
     BOOST_TEST(restarted.isStarted());
-    BOOST_TEST(system.loggedWith("ledger.founded", name) == 0U);
+    BOOST_TEST(system.matchingLogCount("ledger.founded", name) == 0U);
 }
 
-// Every append and vote waits for what is written before it. A log of 8 MB is cut in one write, turns stand still for a
-// third of a second, and entries have given the leader up before it is through.
-BOOST_AUTO_TEST_CASE(no_write_of_a_snapshot_is_so_large_that_appends_wait_for_it)
+// Guards against long stalls of appends and votes, which wait for earlier writes to finish.
+BOOST_AUTO_TEST_CASE(snapshots_are_written_in_parts_that_do_not_block_appends)
 {
     constexpr int turns = 150;
     constexpr std::size_t turnBytes = 90'000;
     constexpr int budget = 100'000;
-    constexpr std::size_t most = 1U << 20U;
+    constexpr std::size_t maxSyncBytes = 1U << 20U;
     System system;
     system.putDocument(3);
     const Address entry = system.addEntry(system.seeds());
@@ -169,14 +162,13 @@
         const auto bulk = system.beginTurn(entry, id, {}, budget, "/plans/1", std::string(turnBytes, 'x')).get();
         BOOST_REQUIRE(bulk.status == 200U);
     }
-    BOOST_TEST(System::eventually([&] { return system.logged("ledger.compacted") >= system.ledgers.size(); }));
+    BOOST_TEST(System::eventually([&] { return system.logCount("ledger.compacted") >= system.ledgers.size(); }));
     for (const auto &disk : system.disks) {
-        BOOST_TEST(disk->largestSyncBytes.load() <= most);
+        BOOST_TEST(disk->largestSyncBytes.load() <= maxSyncBytes);
     }
 }
 
-// An entry starts while all seeds of its settings are off for good, and the platform writes other ones without a
-// signal.
+// Guards against an entry that keeps dead seeds although its settings file names new ones; no signal is sent.
 BOOST_AUTO_TEST_CASE(an_entry_without_a_leader_reads_its_settings_again)
 {
     System system;
--- a/tests/platform/cp_platform_overload.tests.cpp
+++ b/tests/platform/cp_platform_overload.tests.cpp
@@ -8,30 +8,30 @@
 namespace
 {
 
-// Longer than an entry waits for one reply of the ledger, shorter than a leader without its quorum leads.
+// Longer than an entry's request timeout, shorter than the time after which a leader without a quorum steps down.
 constexpr int slowSyncMs = 450;
 
 double commits(System &system)
 {
-    double most = 0;
+    double maximum = 0;
     for (const GatewaySettings &ledger : system.ledgers) {
-        most = std::max(most, system.counted(ledger.directory, "cardamompost_ledger_commits_total"));
+        maximum = std::max(maximum, system.metricValue(ledger.directory, "cardamompost_ledger_commits_total"));
     }
-    return most;
+    return maximum;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(platform_overload)
 
-// Guards a slow ledger against entries that take its leader for lost, search for it, and have their turns begun twice.
-BOOST_AUTO_TEST_CASE(a_leader_that_is_slow_is_neither_searched_for_nor_asked_twice)
+// Guards against entries that consider a slow leader lost, search for another one and begin their turns twice.
+BOOST_AUTO_TEST_CASE(a_slow_leader_is_not_considered_lost_and_gets_no_duplicate_requests)
 {
     System system;
     system.putDocument(3);
     const Address entry = system.addEntry(system.seeds());
     BOOST_TEST(system.turn(entry, "first", {}).status == 200U);
-    const std::size_t lostBefore = system.logged("ledger.lost");
+    const std::size_t lostBefore = system.logCount("ledger.lost");
     const double commitsBefore = commits(system);
     for (const auto &disk : system.disks) {
         disk->syncDelayMs = slowSyncMs;
@@ -47,10 +47,10 @@
     for (const auto &disk : system.disks) {
         disk->syncDelayMs = 0;
     }
-    BOOST_TEST(system.logged("ledger.lost") == lostBefore);
-    // A begin and an end of each, and what the members tell each other meanwhile.
-    constexpr double others = 4;
-    BOOST_TEST(commits(system) - commitsBefore <= 2 * turns + others);
+    BOOST_TEST(system.logCount("ledger.lost") == lostBefore);
+    // Two commits for each turn, and a few of the group's own.
+    constexpr double otherCommits = 4;
+    BOOST_TEST(commits(system) - commitsBefore <= 2 * turns + otherCommits);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/cp_platform_path.tests.cpp
+++ b/tests/platform/cp_platform_path.tests.cpp
@@ -9,23 +9,22 @@
 
 BOOST_AUTO_TEST_SUITE(platform_path)
 
-// CI failed once: a process of this test could not listen on its port, though the port had been free a moment before.
-// The port was one of those that outgoing connections are given, and a connection of an earlier process took it.
-BOOST_AUTO_TEST_CASE(a_free_port_is_none_that_an_outgoing_connection_can_take)
+// Guards against a listener's port that an outgoing connection takes before the listener opens.
+BOOST_AUTO_TEST_CASE(a_free_port_is_outside_of_the_ephemeral_range)
 {
     std::set<std::uint16_t> ports;
-    constexpr std::size_t many = 64;
-    for (std::size_t i = 0; i < many; ++i) {
+    constexpr std::size_t portCount = 64;
+    for (std::size_t i = 0; i < portCount; ++i) {
         ports.insert(freePort());
     }
-    BOOST_TEST(ports.size() == many);
+    BOOST_TEST(ports.size() == portCount);
     BOOST_TEST(*ports.begin() != 0);
     BOOST_TEST(*ports.rbegin() < firstEphemeralPort());
 }
 
-// A plan review goes on through two entries while the VM that leads the ledger is killed in between: the next turn must
-// reach the engine with everything that was said before, and a turn that never was must be refused.
-BOOST_AUTO_TEST_CASE(a_history_outlives_the_ledgers_leader_and_is_found_through_any_entry)
+// Guards against turns that reach the engine without their history after a change of leader or entry; unknown turns are
+// refused.
+BOOST_AUTO_TEST_CASE(a_history_survives_the_loss_of_the_leader_and_is_found_through_any_entry)
 {
     System system;
     const std::size_t leader = system.putDocument(3);
@@ -38,20 +37,19 @@
     BOOST_TEST(first.status == 200U);
     BOOST_TEST(first.header("Server-Signature") == "sig-a1");
     BOOST_TEST(first.body == "id: 1\ndata: a-a1\n\nid: 2\ndata: b-a1\n\n");
-    BOOST_TEST(system.stage.bodyOf("a1") == "in-a1;");
+    BOOST_TEST(system.platform.bodyOf("a1") == "in-a1;");
     system.running[leader].reset();
     const Address two = system.addEntry(seeds);
     BOOST_TEST(system.turn(two, "a2", "a1").status == 200U);
-    BOOST_TEST(system.stage.bodyOf("a2") == "in-a1;a-a1\nb-a1\nin-a2;");
+    BOOST_TEST(system.platform.bodyOf("a2") == "in-a1;a-a1\nb-a1\nin-a2;");
     BOOST_TEST(system.turn(one, "a3", "a2").status == 200U);
-    BOOST_TEST(system.stage.bodyOf("a3") == "in-a1;a-a1\nb-a1\nin-a2;a-a2\nb-a2\nin-a3;");
+    BOOST_TEST(system.platform.bodyOf("a3") == "in-a1;a-a1\nb-a1\nin-a2;a-a2\nb-a2\nin-a3;");
     BOOST_TEST(system.turn(two, "a4", "nobody").status == 404U);
-    BOOST_TEST(system.stage.bodyOf("a4").empty());
+    BOOST_TEST(system.platform.bodyOf("a4").empty());
 }
 
-// Two events of 10 tokens are handed out a turn. A loop that may spend 100 gets turns as long as another 50 fit, and a
-// 402 for each one more, from whichever entry it asks.
-BOOST_AUTO_TEST_CASE(a_budget_is_one_over_all_entries)
+// Each turn uses 20 tokens and reserves 50: a budget of 100 admits three turns; the others get 402 at either entry.
+BOOST_AUTO_TEST_CASE(a_token_budget_is_shared_by_all_entries)
 {
     System system;
     system.putDocument(3);
@@ -67,12 +65,11 @@
     }
     BOOST_TEST(served == 3);
     BOOST_TEST(refused == 5);
-    BOOST_TEST(system.stage.arrivals() == 3);
+    BOOST_TEST(system.platform.arrivals() == 3);
 }
 
-// The seeds were exchanged while the system ran, and an entry starts that is told of one VM only, which does not lead.
-// It refused everything for good, though the ledger was sound (okpara-stow scale-1, 2026-12-02).
-BOOST_AUTO_TEST_CASE(an_entry_finds_a_leader_that_is_none_of_its_seeds)
+// Guards against an entry that refuses everything because its only seed is a follower.
+BOOST_AUTO_TEST_CASE(an_entry_finds_a_leader_that_is_not_among_its_seeds)
 {
     System system;
     const std::size_t leader = system.putDocument(3);
@@ -81,31 +78,30 @@
     BOOST_TEST(system.turn(entry, "b1", {}).status == 200U);
 }
 
-BOOST_AUTO_TEST_CASE(operators_are_answered_truthfully)
+BOOST_AUTO_TEST_CASE(control_requests_report_the_actual_state)
 {
     System system;
     const std::size_t leader = system.putDocument(5);
     const Address control = system.ledgers[leader].control;
     const std::string path = "/cardamompost/configuration";
-    BOOST_TEST(system.stage.call(control, "GET", path).body == document(5));
-    // The same again, or an older one, is acknowledged and changes nothing.
-    BOOST_TEST(system.stage.call(control, "PUT", path, {}, document(5)).status == 200U);
-    BOOST_TEST(system.stage.call(control, "PUT", path, {}, document(4)).status == 200U);
-    BOOST_TEST(system.stage.call(control, "GET", path).body == document(5));
-    BOOST_TEST(system.stage.call(control, "PUT", path, {}, document(6).substr(0, 300)).status == 400U);
+    BOOST_TEST(system.platform.call(control, "GET", path).body == document(5));
+    // The same or an older version is acknowledged and ignored.
+    BOOST_TEST(system.platform.call(control, "PUT", path, {}, document(5)).status == 200U);
+    BOOST_TEST(system.platform.call(control, "PUT", path, {}, document(4)).status == 200U);
+    BOOST_TEST(system.platform.call(control, "GET", path).body == document(5));
+    BOOST_TEST(system.platform.call(control, "PUT", path, {}, document(6).substr(0, 300)).status == 400U);
     const std::size_t other = (leader + 1) % system.ledgers.size();
-    const HttpResponse sent = system.stage.call(system.ledgers[other].control, "GET", path);
+    const HttpResponse sent = system.platform.call(system.ledgers[other].control, "GET", path);
     BOOST_TEST(sent.status == 307U);
-    BOOST_TEST(system.stage.call(control, "POST", "/cardamompost/retire/nobody").status == 404U);
-    // With three VMs, none can be spared.
+    BOOST_TEST(system.platform.call(control, "POST", "/cardamompost/retire/nobody").status == 404U);
+    // With three VMs no retirement is possible.
     const bool isRefused = System::eventually(
-        [&] { return system.stage.call(control, "POST", "/cardamompost/retire/ledger-0").status == 409; });
+        [&] { return system.platform.call(control, "POST", "/cardamompost/retire/ledger-0").status == 409; });
     BOOST_TEST(isRefused);
 }
 
-// A caller's library writes a budget in words, or asks for less than no tokens. The first ran without any bound, and
-// the second gave back what other turns of the program had reserved. Neither may run; the refusal names the header.
-BOOST_AUTO_TEST_CASE(a_budget_that_cannot_be_read_is_refused_by_the_name_of_its_header)
+// Guards against invalid or negative budgets that lift the limit or release reservations of other turns.
+BOOST_AUTO_TEST_CASE(an_invalid_budget_header_is_rejected_by_name)
 {
     System system;
     system.putDocument(3);
@@ -116,7 +112,7 @@
         headers["Token-Usage"] = "100,50";
         headers["Token-Budget"] = "1000";
         headers[header] = value;
-        return system.stage.call(entry, "POST", "/plans/1", headers, "in");
+        return system.platform.call(entry, "POST", "/plans/1", headers, "in");
     };
     const std::vector<std::pair<std::string, std::string>> faults {
         {"Token-Budget", "ten"}, {"Token-Budget", "-5"},  {"Token-Budget", "99999999999999999999"},
@@ -128,14 +124,13 @@
         const HttpResponse refused = ask(id, header, value);
         BOOST_TEST(refused.status == 400U);
         BOOST_TEST(refused.body.find(header) != std::string::npos);
-        BOOST_TEST(system.stage.runsOf(id) == 0U);
+        BOOST_TEST(system.platform.runsOf(id) == 0U);
     }
     BOOST_TEST(ask("b-sound", "Deadline-Milliseconds", "4000.5").status == 200U);
 }
 
-// Three users complain: a plan review that was refused, a cargo declaration without an answer, a program that was
-// stopped. All that is left are the logs; docs/OPERATIONS.md tells how to go from the request's id to the cause.
-BOOST_AUTO_TEST_CASE(three_failed_requests_are_explained_by_their_logs)
+// Checks that the logs alone lead from a request id to its cause, as docs/OPERATIONS.md describes.
+BOOST_AUTO_TEST_CASE(failed_requests_are_explained_by_their_logs)
 {
     System system;
     const std::size_t leader = system.putDocument(3);
@@ -143,9 +138,9 @@
     const Address entry = system.addEntry(seeds);
 
     const HttpHeaders tool {{"Host", "h.example"}, {"Request-Id", "c1"}, {"Deadline-Milliseconds", "3000"}};
-    BOOST_TEST(system.stage.call(entry, "POST", "/tools/lost", tool, "declare").status == 502U);
+    BOOST_TEST(system.platform.call(entry, "POST", "/tools/lost", tool, "declare").status == 502U);
     BOOST_TEST(system.explainEnd("c1").cause.find("may have run, so it was not sent again") != std::string::npos);
-    BOOST_TEST(system.explainEnd("c1").cause.find("'" + system.stage.lastServerOf("c1") + "'") != std::string::npos);
+    BOOST_TEST(system.explainEnd("c1").cause.find("'" + system.platform.lastServerOf("c1") + "'") != std::string::npos);
 
     BOOST_TEST(system.turn(entry, "d1", {}, 60).status == 200U);
     BOOST_TEST(system.turn(entry, "d2", {}, 60).status == 402U);
@@ -153,8 +148,8 @@
         system.explainEnd("d2").cause.find("spent 20 and reserved 0 for turns under way of its budget of 60 tokens")
         != std::string::npos);
 
-    // Refused before a route was known: it was logged without its id.
-    BOOST_TEST(system.stage.call(entry, "POST", "/nowhere", System::headers("g1"), "x").status == 404U);
+    // Refused before a route was matched.
+    BOOST_TEST(system.platform.call(entry, "POST", "/nowhere", System::headers("g1"), "x").status == 404U);
     BOOST_TEST(system.explainEnd("g1").cause.find("no route for this host and path") != std::string::npos);
 
     system.running[leader].reset();
@@ -163,21 +158,21 @@
     const Explanation refused = system.explainEnd("e1");
     BOOST_TEST(refused.cause.find("found no leader of the ledger") != std::string::npos);
     BOOST_TEST(refused.missing.empty());
-    const auto isLost = [](const ExplainedLine &line) { return line.event == "ledger.lost"; };
-    BOOST_TEST(std::any_of(refused.surroundings.begin(), refused.surroundings.end(), isLost));
+    const auto isLeaderLost = [](const ExplainedLine &line) { return line.event == "ledger.lost"; };
+    BOOST_TEST(std::any_of(refused.surroundings.begin(), refused.surroundings.end(), isLeaderLost));
     BOOST_TEST(!system.explain("nobody").missing.empty());
 
-    // No route is known either, but without the ledger nobody can know that there is none.
-    BOOST_TEST(system.stage.call(entry, "POST", "/nowhere", System::headers("g2"), "x").status == 503U);
+    // No route matches, but without the ledger the document may be stale.
+    BOOST_TEST(system.platform.call(entry, "POST", "/nowhere", System::headers("g2"), "x").status == 503U);
     BOOST_TEST(system.explainEnd("g2").cause.find("the document may be old") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(requests_for_one_object_go_to_one_server_on_a_sticky_route)
+BOOST_AUTO_TEST_CASE(requests_with_one_affinity_key_reach_one_server_on_a_sticky_route)
 {
     System system;
     std::string text = document(3);
-    const std::string facts = R"(,"engine":{"slots":16,"key-value-tokens":1000,"stride":10})";
-    text.erase(text.find(facts), facts.size());
+    const std::string engineProperties = R"(,"engine":{"slots":16,"key-value-tokens":1000,"stride":10})";
+    text.erase(text.find(engineProperties), engineProperties.size());
     const std::string tools = R"("path-prefix":"/tools/",)";
     text.insert(text.find(tools) + tools.size(), R"("sticky-sessions":true,)");
     system.put(text);
@@ -190,8 +185,8 @@
             const std::string id = std::to_string(object) + "-" + std::to_string(i);
             HttpHeaders headers = System::headers(id);
             headers["Affinity-Key"] = std::to_string(object);
-            BOOST_TEST(system.stage.call(i % 2 == 0 ? one : two, "POST", "/tools/1", headers, "in").status == 200U);
-            servers.insert(system.stage.lastServerOf(id));
+            BOOST_TEST(system.platform.call(i % 2 == 0 ? one : two, "POST", "/tools/1", headers, "in").status == 200U);
+            servers.insert(system.platform.lastServerOf(id));
         }
         BOOST_TEST(servers.size() == 1U);
         all.insert(servers.begin(), servers.end());
--- a/tests/platform/gateway_cost.py
+++ b/tests/platform/gateway_cost.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""What the gateway costs: processor time of a plain call and of a turn at an entry and at the ledger VMs, time that a turn adds.
+"""Measures the gateway's overhead: CPU time of a plain request and of a turn at an entry and at the ledger VMs, and added latency.
 
 usage: gateway_cost.py [--build FOLDER] [--turns N]
-Three ledger VMs and two entries on loopback, one caller at a time; disks as this machine has them. Prints figures, judges nothing.
+Runs three ledger VMs and two entries on loopback with one client at a time. Prints measurements and checks no bounds.
 """
 import argparse, asyncio, os, statistics, sys, time
 
@@ -12,7 +12,7 @@
 
 
 async def timed(address, path, headers, closes):
-    """Milliseconds until the first byte of the answer's body."""
+    """Milliseconds until the first byte of the response body."""
     reader, writer = await asyncio.open_connection(*address)
     lines = [f"POST {path} HTTP/1.1", "Connection: close", "Content-Length: 4"] + [f"{k}: {v}" for k, v in headers.items()]
     begun = time.perf_counter()
@@ -20,7 +20,7 @@
     await reader.readuntil(b"\r\n\r\n")
     await reader.read(1)
     taken = 1000 * (time.perf_counter() - begun)
-    # The stand-in never closes; what the entry has to settle after an answer is part of its cost.
+    # An entry's work after the response is part of its cost. The stand-in never closes connections.
     if closes:
         await asyncio.wait_for(reader.read(), 5)
     writer.close()
--- a/tests/platform/gateway_soak.py
+++ b/tests/platform/gateway_soak.py
@@ -1,22 +1,26 @@
 #!/usr/bin/env python3
-"""Fault soak of the gateway: real processes on loopback, faults from outside, promises checked while it runs.
+"""Fault injection soak of the gateway: real processes on loopback under injected faults, with invariants checked throughout.
 
 usage: gateway_soak.py [--build FOLDER] [--seconds S] [--plant] SEED...
---plant wipes two of three ledger VMs at once, which is one more than can be borne: the checks have to notice.
-
-Three ledger VMs and two entries run as processes. All that goes to a ledger VM passes a forwarder here, which can delay, reset,
-silence, or pass one way only. Processes are killed, stopped for a while, wiped, and denied to write. Programs run all the while
-against a stand-in that is engine, service and list. Checked: a turn arrives with its whole history; nothing that must not be
-repeated runs twice; what was refused as not run has not run; no program gets more than its budget and one turn; a turn that was
-answered whole is never unknown; the newest acknowledged document is read back; an entry that served a route of a document never
-says 404 to it again, while documents grow; service is back once all faults are over, of the newest routes too. Requests carry keys
-of accounts: a server is told the account that holds the key and never the key; a key that no document had runs nowhere, one that stays
-is never refused, one that was taken away is refused once all is over; an account with a limit gets no more in any window.
+--plant wipes two of three ledger VMs at once, more than the system tolerates: the checks must detect it.
+
+Three ledger VMs and two entries run as processes. Connections to a ledger VM pass a proxy that can delay, reset or blackhole them,
+also in one direction only. Processes are killed, suspended, wiped, and denied writes. Programs run against a stand-in that serves as
+engine, service and backend list. Checked:
+- a turn arrives with its complete history, and a turn that was answered completely is never unknown;
+- unsafe requests run at most once, and requests refused as not executed have not run;
+- no program gets more than its token budget and one turn;
+- the newest acknowledged document is read back;
+- an entry that served a route never answers 404 to it again while documents grow;
+- service recovers once all faults are over, including the newest routes;
+- a backend server receives the client account of a key and never the key; unknown keys run nowhere, valid ones are never refused,
+  revoked ones are refused in the end;
+- a rate-limited account stays within its limit in every window.
 """
 import argparse, asyncio, json, os, random, resource, shutil, signal, socket, sys, tempfile, time
 
 STRIDE, MOST, BUDGET = 10, 50, 400
-# An account's limit: requests a second and at once, the window, and what may come on top.
+# An account's rate limit in requests per second (also its burst), the window, and the permitted excess.
 RATE, WINDOW, OVER_SHARE, OVER_REQUESTS = 15, 5.0, 0.1, 20
 KEY = "stay-officers"
 DOCUMENT = {"routes": [
@@ -29,14 +33,14 @@
 
 
 def document(version, grown):
-    """With so many routes besides; later versions keep those of earlier ones."""
+    """A document with additional routes; later versions keep those of earlier ones."""
     more = [{"name": f"grown-{i}", "host": "h.example", "path-prefix": f"/grown-{i}/", "kind": "unsafe", "timeout-ms": 3000,
              "service": "e", "max-attempts": 1} for i in range(grown)]
     return json.dumps({**DOCUMENT, "version": version, "routes": DOCUMENT["routes"] + more, "tenants": accounts(version)}).encode()
 
 
 def accounts(version):
-    """Some keys stay, one moves between two accounts, and one is there in a single version."""
+    """Some keys are permanent, one moves between two accounts, and one exists in a single version."""
     moves = [["mover"], []] if version % 2 == 0 else [[], ["mover"]]
     return [{"name": "officers", "access-keys": ["stay-officers"] + moves[0]},
             {"name": "foremen", "access-keys": ["stay-foremen"] + moves[1], "priority": 1},
@@ -44,7 +48,7 @@
             {"name": "visitors", "access-keys": [f"visit-{version}"]}]
 
 
-# Who may hold a key, whichever document is in force.
+# Accounts that may hold a key in any version.
 HOLDERS = {"stay-officers": {"officers"}, "stay-foremen": {"foremen"}, "stay-bound": {"bound"}, "mover": {"officers", "foremen"}}
 
 
@@ -66,7 +70,7 @@
 
 
 async def call(address, method, path, headers=None, body=b"", timeout=6.0):
-    """(status, body); status 0 when no whole answer came."""
+    """Returns (status, body); status 0 without a complete response."""
     async def exchange():
         reader, writer = await asyncio.open_connection(*address)
         try:
@@ -87,7 +91,7 @@
 
 
 class Forwarder:
-    """Passes connections on to one ledger VM, as well or badly as it is told."""
+    """Proxies connections to one ledger VM and injects network faults."""
 
     def __init__(self, target):
         self.target, self.delay, self.forth, self.back, self.writers = target, 0.0, True, True, set()
@@ -107,7 +111,7 @@
             while data := await reader.read(65536):
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                # What is silenced is lost for good on this connection, as when something between has forgotten it.
+                # Blackholed data is lost for good, as behind a firewall that has dropped the connection.
                 if getattr(self, way):
                     writer.write(data)
                     await writer.drain()
@@ -121,11 +125,11 @@
 
 
 class Backend:
-    """Engine, service and list in one; remembers what ran."""
+    """Serves as engine, service and backend list, and records the requests that ran."""
 
     def __init__(self, random_):
         self.random, self.runs, self.bodies, self.address = random_, {}, {}, None
-        # The account that each request came with, and when those of the one with a limit came.
+        # The account of each request, and the arrival times of the rate-limited account's requests.
         self.accounts, self.bound_at, self.leaked = {}, [], 0
 
     async def serve(self, reader, writer):
@@ -187,7 +191,7 @@
         with open(file, "w") as out:
             out.write("\n".join(lines) + "\n")
         log = open(os.path.join(self.soak.folder, self.name + ".log"), "ab")
-        # As a platform does: a process that ends by itself, as when another soak's connection has its port, is started again.
+        # Restarts a process that exits by itself, as when its port is in use.
         for _ in range(40):
             self.child = await asyncio.create_subprocess_exec(self.soak.executable, "--settings", file, stdout=log, stderr=log)
             await asyncio.sleep(0.1)
@@ -209,7 +213,7 @@
         self.folder = tempfile.mkdtemp(prefix="gateway-soak-")
         self.backend, self.forwarders, self.ledgers, self.entries = Backend(random.Random(seed + 1)), [], [], []
         self.acked, self.counts, self.serial = 0, {}, 0
-        # Routes of the last document that was put, and the last one that each entry has served.
+        # The number of routes in the last document, and the highest route that each entry has served.
         self.grown, self.served = 1, {}
         self.keys = {}
         self.next_port = os.getpid() * 211
@@ -243,7 +247,7 @@
         await self.put_document(1, 20)
 
     def free_port(self):
-        # Not one that outgoing connections are given: another soak's connection could take it before its listener opens.
+        # Below the ephemeral range: no outgoing connection can take the port before the listener opens.
         first = int(open("/proc/sys/net/ipv4/ip_local_port_range").read().split()[0])
         while True:
             self.next_port += 1
@@ -256,7 +260,7 @@
                     continue
 
     async def until_served(self, front):
-        """Waits until an entry serves a call; for measurements, which begin on a system at rest."""
+        """Waits until an entry serves a request; used by measurements."""
         until = time.monotonic() + 10
         while time.monotonic() < until and (await call(front, "POST", "/tools/x", {"Host": "h.example"}))[0] != 200:
             await asyncio.sleep(0.1)
@@ -282,7 +286,7 @@
                 self.fail(f"document {json.loads(body)['version']} read after {before} was acknowledged")
 
     async def ask_for_routes(self):
-        """Of the newest document, and of one that the entry went by before."""
+        """Requests a route of the newest document and one that the entry has served before."""
         for front in self.fronts:
             served = self.served.get(front, 0)
             for route in {self.grown - 1, self.random.randint(0, served)}:
@@ -313,7 +317,7 @@
         if self.backend.runs.get(request, 0) > 1:
             self.fail(f"{request} ran {self.backend.runs[request]} times")
         if status == 401 and key in HOLDERS:
-            self.fail(f"{request} was refused though the key '{key}' is there")
+            self.fail(f"{request} was refused although the key '{key}' is valid")
         if status in (401, 402, 404, 408, 421, 429, 503):
             self.refused.append((request, status))
         return request, status, answer
@@ -330,9 +334,9 @@
             handed += answer.count(b"\n\n") * STRIDE
             got = self.backend.bodies.get(request)
             if got is not None and got != history + text:
-                self.fail(f"{request} reached the engine with another history")
+                self.fail(f"{request} reached the engine with a wrong history")
             if status == 404:
-                self.fail(f"{request}: the whole turn {previous} is unknown")
+                self.fail(f"{request}: the completed turn {previous} is unknown")
             if status == 402:
                 break
             if status == 200:
@@ -341,7 +345,7 @@
             await self.send("/tools/x", {}, b"work", self.random.choice([key, "mover", "never"]))
             await asyncio.sleep(self.random.uniform(0.01, 0.1))
         if handed > BUDGET + MOST:
-            self.fail(f"program {number} got {handed} tokens of {BUDGET}")
+            self.fail(f"program {number} got {handed} tokens with a budget of {BUDGET}")
 
     async def traffic(self, until):
         number = 0
@@ -353,7 +357,7 @@
         await asyncio.gather(*(one(i) for i in range(6)))
 
     async def press(self, until):
-        """An account that asks for several times its limit."""
+        """Sends several times an account's rate limit."""
         async def one():
             while time.monotonic() < until:
                 await self.send("/tools/x", {}, b"work", "stay-bound")
@@ -362,7 +366,7 @@
 
     def check_accounts(self):
         if self.backend.leaked:
-            self.fail(f"{self.backend.leaked} requests reached the server with a key")
+            self.fail(f"{self.backend.leaked} requests reached the backend server with a key")
         for request, account in self.backend.accounts.items():
             key = self.keys.get(request, KEY)
             holders = {"visitors"} if key.startswith("visit-") else HOLDERS.get(key, set())
@@ -374,11 +378,11 @@
             while times[first] <= at - WINDOW:
                 first += 1
             if last - first + 1 > most:
-                self.fail(f"{last - first + 1} requests of the account with a limit within {WINDOW} s, for {most}")
+                self.fail(f"{last - first + 1} requests of the rate-limited account within {WINDOW} s, limit {most}")
                 break
 
     async def refuses_old_keys(self, front):
-        """Once all is over: the newest document's key is taken, those of documents before are not."""
+        """Checks that the newest document's key is accepted and the previous one's is refused."""
         async def status(version):
             self.serial += 1
             request = f"v{self.seed}x{self.serial}"
@@ -386,7 +390,7 @@
             headers = {"Host": "h.example", "Request-Id": request, "X-Api-Key": self.keys[request]}
             return (await call(front, "POST", "/tools/x", headers, b"x", 3.0))[0]
         for _ in range(40):
-            # The server loses some answers by itself.
+            # Retried, since the stand-in drops some responses.
             if await status(self.acked - 1) == 401 and await status(self.acked) == 200:
                 return True
             await asyncio.sleep(0.1)
@@ -418,12 +422,12 @@
             await asyncio.sleep(self.random.uniform(0.1, 1.5))
             await ledger.start()
         elif kind == "full":
-            # It has to end by itself: a member that stays without its disk is lost for good.
+            # The process must exit by itself: a member whose disk has failed can't recover otherwise.
             resource.prlimit(ledger.child.pid, resource.RLIMIT_FSIZE, (1, 1))
             try:
                 await asyncio.wait_for(ledger.child.wait(), 5)
             except asyncio.TimeoutError:
-                self.fail(f"{ledger.name} stays although its disk refuses writes")
+                self.fail(f"{ledger.name} keeps running although its disk refuses writes")
                 await ledger.kill()
             await ledger.start()
         elif kind in ("freeze", "entry"):
@@ -437,10 +441,10 @@
             forwarder.delay = 0.08 if kind == "delay" else 0.0
             forwarder.forth, forwarder.back = kind != "silence", kind not in ("silence", "oneway")
             await asyncio.sleep(self.random.uniform(0.5, 2.5))
-            # Connections that were silenced stay so until their own ends notice; new ones work.
+            # Open connections are reset; new ones work.
             forwarder.delay, forwarder.forth, forwarder.back = 0.0, True, True
             forwarder.reset()
-        # A second loss may come only once the first is made good, as the losses to bear say.
+        # The system tolerates a further loss only after recovery from the previous one.
         await asyncio.sleep(3.0)
 
     async def run(self, seconds):
@@ -461,15 +465,15 @@
             self.fail("no document is acknowledged after the faults are over")
         await self.read_documents()
         for front in self.fronts:
-            # One that serves no turn has failed already; asking it for its routes would only take minutes.
+            # Skipped if no turn is served, which is a failure already: the requests would only time out.
             if served and not await self.serves_newest(front):
                 self.fail(f"{front} does not serve the newest of {self.grown} routes")
             if served and not await self.refuses_old_keys(front):
-                self.fail(f"{front} goes on by keys of a document before {self.acked}")
+                self.fail(f"{front} accepts keys of a document before {self.acked}")
         self.check_accounts()
         for request, status in self.refused:
             if request in self.backend.runs:
-                self.fail(f"{request} was refused with {status} and ran")
+                self.fail(f"{request} was refused with {status}, but ran")
 
     async def finish(self):
         for process in self.ledgers + self.entries:
--- a/tests/platform/logging_share.py
+++ b/tests/platform/logging_share.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Processor time of an entry's logging: two entries of one system, one with its logs on and one without, take the same load in turn.
+"""Measures the CPU time of an entry's logging: of two entries under the same load one logs at its default level and one only errors.
 
 usage: logging_share.py [--build FOLDER] [--requests N]
-Prints both entries' processor time for a request and the share that logging takes of the first one's. Loopback only.
+Prints the CPU time of both entries per request and the share of logging in the first. Uses loopback only.
 """
 import argparse, asyncio, os, sys
 
@@ -42,7 +42,7 @@
                 await load(soak.fronts[entry], arguments.requests // rounds, f"{entry}-{part}-")
         used = [processor_seconds(entry) - start for entry, start in zip(soak.entries, before)]
         for name, seconds in zip(("with logs", "without"), used):
-            print(f"{name}: {1000 * seconds / arguments.requests:.3f} ms of processor time a request")
+            print(f"{name}: {1000 * seconds / arguments.requests:.3f} ms of CPU time per request")
         print(f"share of logging: {100 * (used[0] - used[1]) / used[0]:.1f} %")
     finally:
         await soak.finish()
--- a/tests/support/cp_fake_network.hpp
+++ b/tests/support/cp_fake_network.hpp
@@ -12,7 +12,7 @@
 namespace cardamompost::tests
 {
 
-//! Delivers messages in virtual time: late, in another order, twice or not at all, and not across cuts.
+//! Simulates a network in virtual time that delays, reorders, duplicates and drops messages, with partitions.
 class FakeNetwork
 {
 public:
@@ -38,7 +38,7 @@
         queue_.emplace(time, std::move(action));
     }
 
-    //! Runs all that is due until a time.
+    //! Runs the actions that are due by a time.
     void runUntil(TimePoint end)
     {
         while (!queue_.empty() && queue_.begin()->first <= end) {
@@ -57,7 +57,7 @@
 
     std::mt19937_64 random;
     TimePoint now {std::chrono::hours(1)};
-    //! Directions in which nothing passes.
+    //! Pairs of sender and receiver whose messages are dropped.
     std::set<std::pair<VmName, VmName>> cuts;
     double lossShare = 0.02;
     double doubleShare = 0.02;
--- a/tests/support/cp_platform_stage.hpp
+++ b/tests/support/cp_fake_platform.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_TESTS_CP_PLATFORM_STAGE_HPP_INCLUDED
-#define CARDAMOMPOST_TESTS_CP_PLATFORM_STAGE_HPP_INCLUDED
+#ifndef CARDAMOMPOST_TESTS_CP_FAKE_PLATFORM_HPP_INCLUDED
+#define CARDAMOMPOST_TESTS_CP_FAKE_PLATFORM_HPP_INCLUDED
 
 #include "gateway/cp_gateway.hpp"
 #include "platform/cp_platform_adapter.hpp"
@@ -27,11 +27,11 @@
     return {"127.0.0.1", port};
 }
 
-//! One process of the gateway, on a thread of its own.
+//! Runs a gateway instance on its own thread.
 class GatewayThread
 {
 public:
-    //! \param disk  how its disk behaves
+    //! \param disk  faults to inject into its files
     explicit GatewayThread(GatewaySettings settings,
                            FaultInjectingFiles::SharedFaults disk = std::make_shared<DiskFaults>())
         : gateway_(
@@ -55,7 +55,7 @@
     GatewayThread(const GatewayThread &) = delete;
     GatewayThread &operator=(const GatewayThread &) = delete;
 
-    //! Its thread stands still, as on a VM that is frozen, until thaw().
+    //! Suspends its thread until thaw(), like a paused VM.
     void freeze()
     {
         isFrozen() = true;
@@ -76,12 +76,12 @@
     {
         return isStarted_;
     }
-    //! The process has ended by itself.
+    //! True once run() has returned.
     [[nodiscard]] bool hasEnded() const
     {
         return hasEnded_;
     }
-    //! Once it has ended.
+    //! Valid once hasEnded().
     [[nodiscard]] int exitCode() const
     {
         return exitCode_;
@@ -90,13 +90,13 @@
     {
         gateway_.deliver(signal);
     }
-    //! Changes the settings file, and says so to the process.
+    //! Changes the settings file and delivers SIGHUP.
     void reload(GatewaySettings settings)
     {
         changeSettingsFile(std::move(settings));
         gateway_.deliver(SIGHUP);
     }
-    //! Changes the settings file without a word.
+    //! Changes the settings file without a signal.
     void changeSettingsFile(GatewaySettings settings)
     {
         const std::lock_guard lock(mutex_);
@@ -104,7 +104,7 @@
     }
 
 private:
-    //! Nothing while nobody has written one, as for a file that can't be read.
+    //! Empty until a settings file was written, as for an unreadable file.
     [[nodiscard]] std::optional<GatewaySettings> settingsFile() const
     {
         const std::lock_guard lock(mutex_);
@@ -126,14 +126,18 @@
     std::thread thread_;
 };
 
-//! The platform's side, small: two backend servers, one of which is also the list, and calls as clients and operators
-//! make them. What a server does follows from the path: "lost" loses the answer of work that was done, "silent-once"
-//! runs it without an answer the first time, "twice" answers a second time, "cut-once" breaks its stream within an
-//! event, "slow" takes its time, "never" answers nothing.
-class PlatformStage
+//! Simulates the users' platform: two backend servers, the first of which also serves the backend list, and an HTTP
+//! client for requests of clients and operators. The path selects a server's behaviour:
+//! - "lost" aborts the connection after the request was executed
+//! - "silent-once" doesn't respond to the first attempt
+//! - "twice" sends a second response
+//! - "cut-once" aborts the first attempt within an event
+//! - "slow" pauses before each event
+//! - "never" doesn't respond
+class FakePlatform
 {
 public:
-    PlatformStage()
+    FakePlatform()
     {
         for (std::size_t i = 0; i < serverCount; ++i) {
             servers_.push_back(std::make_unique<HttpServer>(
@@ -144,20 +148,20 @@
         }
         thread_ = std::thread([this] { io_.run(); });
     }
-    ~PlatformStage()
+    ~FakePlatform()
     {
         io_.stop();
         thread_.join();
     }
-    PlatformStage(const PlatformStage &) = delete;
-    PlatformStage &operator=(const PlatformStage &) = delete;
+    FakePlatform(const FakePlatform &) = delete;
+    FakePlatform &operator=(const FakePlatform &) = delete;
 
     [[nodiscard]] Address listAddress() const
     {
         return local(ports.front());
     }
 
-    //! Begins a call; its whole answer comes later, with status 0 when there was none.
+    //! Sends a request. The future holds the complete response, or status 0 if there was none.
     std::future<HttpResponse> begin(const Address &address, std::string method, std::string target,
                                     HttpHeaders headers = {}, std::string body = {},
                                     Milliseconds timeout = Milliseconds(5000))
@@ -184,42 +188,42 @@
         return begin(address, std::move(method), std::move(target), std::move(headers), std::move(body)).get();
     }
 
-    //! The body that a backend server got with a request id; empty when none got it.
+    //! The body that a backend server received with a request id; empty if none did.
     std::string bodyOf(const std::string &id)
     {
         const std::lock_guard lock(mutex_);
         return bodies_[id];
     }
-    //! A header as the backend server got it; empty when it got none.
+    //! A header that a backend server received; empty if it was missing.
     std::string headerOf(const std::string &id, const std::string &name)
     {
         const std::lock_guard lock(mutex_);
         const auto found = headers_[id].find(name);
         return found == headers_[id].end() ? std::string() : found->second;
     }
-    //! How often a request reached a backend server.
+    //! How many times a request reached a backend server.
     std::size_t runsOf(const std::string &id)
     {
         const std::lock_guard lock(mutex_);
         return runs_[id].size();
     }
-    //! The backend server that a request reached last.
+    //! The id of the backend server that a request reached last; empty if none.
     std::string lastServerOf(const std::string &id)
     {
         const std::lock_guard lock(mutex_);
         return runs_[id].empty() ? std::string() : "i-" + std::to_string(runs_[id].back() + 1);
     }
-    //! Whether a stream ended because nobody took it any more.
-    bool wasLeft(const std::string &id)
+    //! True if the client of a slow stream disconnected before its end.
+    bool wasDisconnected(const std::string &id)
     {
         const std::lock_guard lock(mutex_);
-        return left_.contains(id);
+        return disconnected_.contains(id);
     }
-    //! From now on another server has the first one's address, as after its end.
+    //! Replaces the first server by another instance at the same address.
     void reuseFirstAddress()
     {
         const std::lock_guard lock(mutex_);
-        isReused_ = true;
+        isFirstAddressReused_ = true;
     }
     int arrivals()
     {
@@ -244,8 +248,8 @@
         list.body += R"(],"next":null})";
         return list;
     }
-    //! Notes an arrival. \returns how many came before with the same id
-    std::size_t note(std::size_t server, const std::string &id, const HttpRequest &request)
+    //! Records a request. \returns the number of earlier ones with the same id
+    std::size_t recordRequest(std::size_t server, const std::string &id, const HttpRequest &request)
     {
         const std::lock_guard lock(mutex_);
         ++arrivals_;
@@ -254,11 +258,11 @@
         runs_[id].push_back(server);
         return runs_[id].size() - 1;
     }
-    //! Whether a request that names an instance is at the right one.
-    bool isMeant(std::size_t server, const std::string &expected)
+    //! True if a server is the instance that a request expects.
+    bool isExpectedInstance(std::size_t server, const std::string &expected)
     {
         const std::lock_guard lock(mutex_);
-        const std::string own = server == 0 && isReused_ ? "i-9" : "i-" + std::to_string(server + 1);
+        const std::string own = server == 0 && isFirstAddressReused_ ? "i-9" : "i-" + std::to_string(server + 1);
         return expected == own;
     }
     static std::string event(int number, const std::string &text)
@@ -273,16 +277,16 @@
             co_return;
         }
         const std::string id(request.header("Request-Id"));
-        if (!isMeant(server, std::string(request.header("Expected-Instance")))) {
+        if (!isExpectedInstance(server, std::string(request.header("Expected-Instance")))) {
             HttpResponse misdirected;
             misdirected.status = 421;
             misdirected.headers["Request-Id"] = id;
             co_await responder.respond(std::move(misdirected));
             co_return;
         }
-        const std::size_t before = note(server, id, request);
+        const std::size_t earlierAttempts = recordRequest(server, id, request);
         const auto has = [&](std::string_view word) { return request.path.find(word) != std::string::npos; };
-        if (has("/never") || (has("silent-once") && before == 0)) {
+        if (has("/never") || (has("silent-once") && earlierAttempts == 0)) {
             co_await sleepFor(Milliseconds(60'000));
         }
         if (has("/lost")) {
@@ -297,10 +301,10 @@
         if (has("/slow")) {
             for (int i = 1; i <= slowEvents; ++i) {
                 co_await sleepFor(slowPause);
-                const bool isTaken = co_await responder.write(event(i, "s"));
-                if (!isTaken) {
+                const bool isWritten = co_await responder.write(event(i, "s"));
+                if (!isWritten) {
                     const std::lock_guard lock(mutex_);
-                    left_.insert(id);
+                    disconnected_.insert(id);
                     co_return;
                 }
             }
@@ -310,7 +314,7 @@
         if (request.header("Last-Event-Id") != "1") {
             co_await responder.write(event(1, "a-" + id));
         }
-        if (has("cut-once") && before == 0) {
+        if (has("cut-once") && earlierAttempts == 0) {
             co_await responder.write("id: 2\ndata: b-");
             responder.abort();
             co_return;
@@ -334,12 +338,12 @@
     std::map<std::string, std::string> bodies_;
     std::map<std::string, HttpHeaders> headers_;
     std::map<std::string, std::vector<std::size_t>> runs_;
-    std::set<std::string> left_;
-    bool isReused_ = false;
+    std::set<std::string> disconnected_;
+    bool isFirstAddressReused_ = false;
     int arrivals_ = 0;
     std::thread thread_;
 };
 
 } // namespace cardamompost::tests
 
-#endif // CARDAMOMPOST_TESTS_CP_PLATFORM_STAGE_HPP_INCLUDED
+#endif // CARDAMOMPOST_TESTS_CP_FAKE_PLATFORM_HPP_INCLUDED
--- a/tests/support/cp_free_port.hpp
+++ b/tests/support/cp_free_port.hpp
@@ -10,20 +10,17 @@
 namespace cardamompost::tests
 {
 
-//! The lowest port that outgoing connections may be given.
+//! The lowest port of the ephemeral range.
 inline unsigned firstEphemeralPort()
 {
-    constexpr unsigned usual = 32'768;
-    unsigned first = usual;
+    constexpr unsigned linuxDefault = 32'768;
+    unsigned first = linuxDefault;
     std::ifstream("/proc/sys/net/ipv4/ip_local_port_range") >> first;
     return first;
 }
 
-//! A port of the loopback that nobody listens on now, and that no outgoing connection can take.
-//!
-//! Guards against a port that the system hands out as free: an outgoing connection of the same test may be given it
-//! before the listener opens, which then fails (seen once, in CI). Ports below the ephemeral ones are never given to
-//! connections; processes that run side by side begin at places of their own.
+//! A free port of the loopback interface below the ephemeral range, so that no outgoing connection takes it before the
+//! listener opens. Concurrent processes start their search at different ports. Returns 0 if no port is free.
 inline std::uint16_t freePort()
 {
     constexpr unsigned lowest = 10'000;
@@ -31,7 +28,7 @@
     static unsigned next = static_cast<unsigned>(::getpid()) * perProcess;
     const unsigned span = firstEphemeralPort() - lowest;
     boost::asio::io_context io;
-    for (unsigned tries = 0; tries < span; ++tries) {
+    for (unsigned attempt = 0; attempt < span; ++attempt) {
         const auto port = static_cast<std::uint16_t>(lowest + next++ % span);
         boost::asio::ip::tcp::acceptor probe(io, boost::asio::ip::tcp::v4());
         boost::system::error_code error;
--- a/tests/support/cp_model_engine.hpp
+++ b/tests/support/cp_model_engine.hpp
@@ -10,10 +10,10 @@
 namespace cardamompost::tests
 {
 
-//! Times of the model, in milliseconds.
+//! Virtual time in milliseconds.
 using Ms = double;
 
-//! What an engine is like: it decodes a batch step by step and reads prompts in pieces between the steps.
+//! Parameters of an engine with continuous batching and chunked prefill.
 struct EngineModel {
     unsigned slots = 6;
     Ms step = 2.5;
@@ -21,25 +21,25 @@
     double tokensReadPerMs = 85;
     double chunk = 1024;
     Ms setUp = 11;
-    //! Tokens that running turns and kept prompts share.
+    //! Key-value memory in tokens, for running turns and cached prompts.
     double memory = 50'000;
-    //! Each third engine's steps and reading take so many times as long.
+    //! Slowdown factor of every third engine.
     double slowness = 1.3;
 };
 
-//! One engine in virtual time. The least recently used prompts yield to running turns; if these do not fit, the newest
-//! is put back.
+//! An engine in virtual time. Least recently used prompts are evicted for running turns; if these don't fit, the newest
+//! one is preempted.
 class ModelEngine
 {
 public:
     struct Run {
         std::size_t turn = 0;
-        //! The history that the prompt belongs to, and the one that it grew out of.
+        //! The history of the prompt, and the one that it was forked from.
         std::string line;
         std::string parent;
         double prompt = 0;
         double parentPrompt = 0;
-        //! What the parent's own prompt grew out of.
+        //! Tokens that the parent shares with its own parent.
         double grandPrompt = 0;
         double toRead = 0;
         double out = 0;
@@ -59,7 +59,7 @@
     {
         return running_.empty() && queue_.empty();
     }
-    //! One step. \param done  gets the turns that are finished \returns how long it took
+    //! Runs one step. \param done  receives the finished turns \returns the duration
     Ms step(std::vector<std::size_t> &done)
     {
         admit();
@@ -70,7 +70,7 @@
                 if (!isReading) {
                     const double piece = std::min(run.toRead, model_.chunk);
                     run.toRead -= piece;
-                    read_ += piece;
+                    tokensRead_ += piece;
                     time += piece / model_.tokensReadPerMs * slowness_;
                     isReading = true;
                 }
@@ -84,27 +84,27 @@
                 ++run;
                 continue;
             }
-            keep(run->line, run->prompt + run->out, run->prompt + run->out - run->parentPrompt);
+            store(run->line, run->prompt + run->out, run->prompt + run->out - run->parentPrompt);
             done.push_back(run->turn);
             run = running_.erase(run);
         }
-        putBack();
+        preempt();
         return time;
     }
     [[nodiscard]] double tokensRead() const
     {
-        return read_;
+        return tokensRead_;
     }
-    [[nodiscard]] unsigned putBacks() const
+    [[nodiscard]] unsigned preemptions() const
     {
-        return putBacks_;
+        return preemptions_;
     }
 
 private:
-    struct Kept {
+    struct CachedPrompt {
         std::string line;
         double tokens = 0;
-        //! Without what it shares with the history that it grew out of: memory holds that once.
+        //! Tokens that aren't shared with the parent, which are stored once.
         double own = 0;
     };
 
@@ -114,12 +114,12 @@
             Run run = std::move(queue_.front());
             queue_.pop_front();
             const double inherited
-                = run.parent.empty() ? run.parentPrompt : std::min(run.parentPrompt, peek(run.parent));
-            const double known = std::max(take(run.line), inherited);
-            run.toRead = std::max(run.prompt - known, 1.0);
+                = run.parent.empty() ? run.parentPrompt : std::min(run.parentPrompt, cachedTokens(run.parent));
+            const double reusable = std::max(evict(run.line), inherited);
+            run.toRead = std::max(run.prompt - reusable, 1.0);
             if (!run.parent.empty()) {
-                // What it grew out of is a part of its prompt, so the engine holds that from now on.
-                keep(run.parent, std::max(take(run.parent), run.parentPrompt), run.parentPrompt - run.grandPrompt);
+                // The parent's prompt is a prefix of this one, so it is cached as well.
+                store(run.parent, std::max(evict(run.parent), run.parentPrompt), run.parentPrompt - run.grandPrompt);
             }
             run.made = 0;
             running_.push_back(std::move(run));
@@ -133,51 +133,51 @@
         }
         return sum;
     }
-    void putBack()
+    void preempt()
     {
         while (running_.size() > 1 && runningTokens() > model_.memory) {
             queue_.push_front(std::move(running_.back()));
             running_.pop_back();
-            ++putBacks_;
+            ++preemptions_;
         }
-        while (!kept_.empty() && keptTokens_ + runningTokens() > model_.memory) {
-            keptTokens_ -= kept_.back().own;
-            kept_.pop_back();
+        while (!cache_.empty() && cachedTokens_ + runningTokens() > model_.memory) {
+            cachedTokens_ -= cache_.back().own;
+            cache_.pop_back();
         }
     }
-    void keep(const std::string &line, double tokens, double own)
+    void store(const std::string &line, double tokens, double own)
     {
-        take(line);
-        kept_.push_front({line, tokens, own});
-        keptTokens_ += own;
+        evict(line);
+        cache_.push_front({line, tokens, own});
+        cachedTokens_ += own;
     }
-    double take(const std::string &line)
+    double evict(const std::string &line)
     {
-        const auto found
-            = std::find_if(kept_.begin(), kept_.end(), [&](const Kept &kept) { return kept.line == line; });
-        if (found == kept_.end()) {
+        const auto found = std::find_if(cache_.begin(), cache_.end(),
+                                        [&](const CachedPrompt &cached) { return cached.line == line; });
+        if (found == cache_.end()) {
             return 0;
         }
         const double tokens = found->tokens;
-        keptTokens_ -= found->own;
-        kept_.erase(found);
+        cachedTokens_ -= found->own;
+        cache_.erase(found);
         return tokens;
     }
-    [[nodiscard]] double peek(const std::string &line) const
+    [[nodiscard]] double cachedTokens(const std::string &line) const
     {
-        const auto found
-            = std::find_if(kept_.begin(), kept_.end(), [&](const Kept &kept) { return kept.line == line; });
-        return found == kept_.end() ? 0 : found->tokens;
+        const auto found = std::find_if(cache_.begin(), cache_.end(),
+                                        [&](const CachedPrompt &cached) { return cached.line == line; });
+        return found == cache_.end() ? 0 : found->tokens;
     }
 
     EngineModel model_;
     double slowness_;
     std::deque<Run> queue_;
     std::vector<Run> running_;
-    std::list<Kept> kept_;
-    double keptTokens_ = 0;
-    double read_ = 0;
-    unsigned putBacks_ = 0;
+    std::list<CachedPrompt> cache_;
+    double cachedTokens_ = 0;
+    double tokensRead_ = 0;
+    unsigned preemptions_ = 0;
 };
 
 } // namespace cardamompost::tests
--- a/tests/support/cp_platform_system.hpp
+++ b/tests/support/cp_platform_system.hpp
@@ -1,8 +1,8 @@
 #ifndef CARDAMOMPOST_TESTS_CP_PLATFORM_SYSTEM_HPP_INCLUDED
 #define CARDAMOMPOST_TESTS_CP_PLATFORM_SYSTEM_HPP_INCLUDED
 
+#include "support/cp_fake_platform.hpp"
 #include "support/cp_fault_injecting_proxy.hpp"
-#include "support/cp_platform_stage.hpp"
 
 #include <cardamompost/observe/cp_log_explainer.hpp>
 
@@ -12,20 +12,21 @@
 namespace cardamompost::tests
 {
 
-// Bounds of the waits below; nothing is said of how long anything takes.
+// Bounds of the waits below.
 constexpr int maxTries = 400;
 constexpr Milliseconds tryPause {25};
 
-//! \param moreRoutes  so many routes besides, "/more-1/" and so on
+//! A route document.
+//! \param moreRoutes  number of additional routes, from "/more-1/" on
 inline std::string document(int version, int moreRoutes = 0)
 {
-    std::string more;
+    std::string additionalRoutes;
     for (int i = 1; i <= moreRoutes; ++i) {
         const std::string name = "more-" + std::to_string(i);
-        more += R"({"name":")" + name + R"(","host":"h.example","path-prefix":"/)" + name
+        additionalRoutes += R"({"name":")" + name + R"(","host":"h.example","path-prefix":"/)" + name
             + R"(/","kind":"unsafe","timeout-ms":4000,"service":"engines","max-attempts":1},)";
     }
-    return R"({"version":)" + std::to_string(version) + R"(,"routes":[)" + more + R"(
+    return R"({"version":)" + std::to_string(version) + R"(,"routes":[)" + additionalRoutes + R"(
  {"name":"plans","host":"h.example","path-prefix":"/plans/","kind":"streaming","timeout-ms":4000,"priority":0,
   "service":"engines","max-attempts":1,"retains-context":true,"retention-s":60.0,"sticky-sessions":true},
  {"name":"drafts","host":"h.example","path-prefix":"/drafts/","kind":"streaming","timeout-ms":4000,"priority":1,
@@ -40,7 +41,7 @@
  "limits":{"max-header-bytes":16384,"max-body-bytes":100000,"header-timeout-ms":3000,"idle-timeout-ms":15000}})";
 }
 
-//! A whole system on the loopback: ledger VMs with disks of their own, and entries.
+//! A complete system on the loopback interface: ledger VMs with their own data folders, and entries.
 class System
 {
 public:
@@ -51,7 +52,7 @@
         for (int i = 0; i < founders; ++i) {
             ledgers.push_back(ledgerSettings());
         }
-        // Members are known by address; on one machine each has a port of its own.
+        // Members are identified by address: each has its own port.
         for (GatewaySettings &settings : ledgers) {
             for (const GatewaySettings &other : ledgers) {
                 settings.seeds.push_back(other.peer);
@@ -61,7 +62,7 @@
             runLedger(settings);
         }
     }
-    //! Starts one more ledger VM, as a platform does that adds a machine.
+    //! Starts an additional ledger VM.
     void addLedger(const std::string &failureDomain = "apapa")
     {
         GatewaySettings settings = ledgerSettings();
@@ -78,7 +79,7 @@
         std::filesystem::remove_all(folder_);
     }
 
-    GatewaySettings common(const std::string &vm)
+    GatewaySettings commonSettings(const std::string &vm)
     {
         GatewaySettings settings;
         settings.vm = vm;
@@ -93,24 +94,24 @@
         return settings;
     }
 
-    //! A new ledger VM's; other processes reach it through the link.
+    //! Settings of a new ledger VM, which other processes reach through the proxy.
     GatewaySettings ledgerSettings()
     {
-        GatewaySettings settings = common("ledger-" + std::to_string(ledgers.size()));
+        GatewaySettings settings = commonSettings("ledger-" + std::to_string(ledgers.size()));
         settings.role = GatewayRole::Ledger;
         settings.peer = local(freePort());
         link.forward(settings.peer, settings.peerListen);
         settings.control = local(freePort());
         settings.directory = local(freePort());
-        settings.backendList = stage.listAddress();
+        settings.backendList = platform.listAddress();
         settings.dataFolder = (folder_ / settings.vm).string();
-        // Small, so that tests see what is read back from the disk.
+        // Small, so that histories are read back from the disk.
         settings.memoryBytes = 2U << 20U;
         settings.isFirstStart = true;
         return settings;
     }
 
-    //! Peers of all ledger VMs.
+    //! Peer addresses of all ledger VMs.
     [[nodiscard]] std::vector<Address> seeds() const
     {
         std::vector<Address> addresses;
@@ -120,10 +121,9 @@
         return addresses;
     }
 
-    //! Starts an entry.
     const GatewaySettings &startEntry(const std::vector<Address> &seeds)
     {
-        GatewaySettings settings = common("entry-" + std::to_string(entries.size()));
+        GatewaySettings settings = commonSettings("entry-" + std::to_string(entries.size()));
         settings.front = local(freePort());
         settings.ready = local(freePort());
         settings.seeds = seeds;
@@ -132,12 +132,12 @@
         BOOST_REQUIRE(entries.back()->isStarted());
         return entrySettings.back();
     }
-    //! Ends all ledger VMs at once, as a loss of power does.
+    //! Stops all ledger VMs.
     void killLedgers()
     {
         running.clear();
     }
-    //! Starts a ledger VM again; all of them, after killLedgers(), in order.
+    //! Restarts a ledger VM. After killLedgers() they are restarted in order.
     void restartLedger(std::size_t number, bool keepsDisk = true)
     {
         GatewaySettings &settings = ledgers[number];
@@ -152,7 +152,7 @@
         running[number] = std::make_unique<GatewayThread>(settings, disks[number]);
         BOOST_REQUIRE(running[number]->isStarted());
     }
-    //! Changes which ledger VMs the settings of all of them name, as it holds at their next starts.
+    //! Changes the seeds in the settings of all ledger VMs, from their next starts on.
     void changeLedgerSeeds(const std::vector<std::size_t> &numbers)
     {
         std::vector<Address> seeds;
@@ -163,17 +163,17 @@
             settings.seeds = seeds;
         }
     }
-    //! True when a ledger VM knows who leads: it answers an operator itself, or sends the operator there.
+    //! True if a ledger VM is the leader or redirects control requests to it.
     [[nodiscard]] bool knowsLeader(std::size_t ledger)
     {
-        const unsigned status = stage.call(ledgers[ledger].control, "GET", "/cardamompost/configuration").status;
+        const unsigned status = platform.call(ledgers[ledger].control, "GET", "/cardamompost/configuration").status;
         return status == 200 || status == 307;
     }
     [[nodiscard]] unsigned readiness(std::size_t entry)
     {
-        return stage.call(entrySettings[entry].ready, "GET", "/cardamompost/readiness").status;
+        return platform.call(entrySettings[entry].ready, "GET", "/cardamompost/readiness").status;
     }
-    //! Starts an entry and waits until it is ready. \returns where callers connect
+    //! Starts an entry and waits until it is ready. \returns its address for clients
     Address addEntry(const std::vector<Address> &seeds)
     {
         const Address front = startEntry(seeds).front;
@@ -181,22 +181,23 @@
         BOOST_REQUIRE(isReady);
         return front;
     }
-    //! A counter of a process's metrics; 0 where there is none.
-    [[nodiscard]] double counted(const Address &metrics, const std::string &series)
+    //! The value of a metric; 0 if it is missing.
+    [[nodiscard]] double metricValue(const Address &metrics, const std::string &series)
     {
-        const std::string text = stage.call(metrics, "GET", "/metrics").body;
+        const std::string text = platform.call(metrics, "GET", "/metrics").body;
         const std::size_t at = text.find("\n" + series + " ");
         return at == std::string::npos ? 0 : std::stod(text.substr(at + series.size() + 2));
     }
-    //! Waits until a ledger VM that lost its disk holds everything again and may vote.
-    [[nodiscard]] bool isMadeGood(std::size_t ledger)
+    //! Waits until a ledger VM that lost its disk is complete and may vote.
+    [[nodiscard]] bool isRecovered(std::size_t ledger)
     {
-        return eventually([&] { return counted(ledgers[ledger].directory, "cardamompost_ledger_whole") == 1; });
+        return eventually([&] { return metricValue(ledgers[ledger].directory, "cardamompost_ledger_whole") == 1; });
     }
-    //! Addresses of entries that any ledger VM names to callers.
+    //! The directory response with the addresses of entries.
     [[nodiscard]] std::string directory()
     {
-        return stage.call(ledgers.front().directory, "GET", "/cardamompost/resolution?name=h.example&zone=apapa").body;
+        return platform.call(ledgers.front().directory, "GET", "/cardamompost/resolution?name=h.example&zone=apapa")
+            .body;
     }
 
     template<typename Condition>
@@ -211,7 +212,7 @@
         return false;
     }
 
-    //! The number of the VM that acknowledges a document; operators follow no redirection here.
+    //! Puts a document. \returns the index of the ledger VM that acknowledged it, which is the leader
     std::size_t putDocument(int version, int moreRoutes = 0)
     {
         return put(document(version, moreRoutes));
@@ -219,16 +220,16 @@
     std::size_t put(const std::string &text)
     {
         std::size_t leader = ledgers.size();
-        const bool isPut = eventually([&] {
+        const bool isAcknowledged = eventually([&] {
             for (std::size_t i = 0; i < ledgers.size() && leader == ledgers.size(); ++i) {
                 const HttpResponse answer = running[i] == nullptr
                     ? HttpResponse {0, {}, {}}
-                    : stage.call(ledgers[i].control, "PUT", "/cardamompost/configuration", {}, text);
+                    : platform.call(ledgers[i].control, "PUT", "/cardamompost/configuration", {}, text);
                 leader = answer.status == 200 ? i : leader;
             }
             return leader != ledgers.size();
         });
-        BOOST_REQUIRE(isPut);
+        BOOST_REQUIRE(isAcknowledged);
         return leader;
     }
 
@@ -238,18 +239,18 @@
     }
     std::future<HttpResponse> beginTurn(const Address &entry, const std::string &id, const std::string &previous,
                                         int budget = 1000, const std::string &path = "/plans/1",
-                                        const std::string &more = {})
+                                        const std::string &additionalBody = {})
     {
-        HttpHeaders all = headers(id);
-        all["Program"] = "p1";
-        all["Token-Usage"] = "100,50";
-        all["Session"] = "s";
-        all["Program-Time-Left"] = "2000";
-        all["Token-Budget"] = std::to_string(budget);
+        HttpHeaders turnHeaders = headers(id);
+        turnHeaders["Program"] = "p1";
+        turnHeaders["Token-Usage"] = "100,50";
+        turnHeaders["Session"] = "s";
+        turnHeaders["Program-Time-Left"] = "2000";
+        turnHeaders["Token-Budget"] = std::to_string(budget);
         if (!previous.empty()) {
-            all["Previous-Turn"] = previous;
+            turnHeaders["Previous-Turn"] = previous;
         }
-        return stage.begin(entry, "POST", path, all, "in-" + id + ";" + more);
+        return platform.begin(entry, "POST", path, turnHeaders, "in-" + id + ";" + additionalBody);
     }
     HttpResponse turn(const Address &entry, const std::string &id, const std::string &previous, int budget = 1000,
                       const std::string &path = "/plans/1")
@@ -257,7 +258,7 @@
         return beginTurn(entry, id, previous, budget, path).get();
     }
 
-    //! What the logs of all processes say of a request, as `cardamompost explain` tells it.
+    //! Explains a request from the logs of all processes, as `cardamompost explain` does.
     [[nodiscard]] Explanation explain(const std::string &id) const
     {
         LogExplainer explainer;
@@ -270,25 +271,25 @@
         return explainer.explain(id);
     }
 
-    //! The same, once the line of its end is there: a caller has its answer a moment before the line is written.
+    //! Waits for the log line of the request's end, which is written after the response.
     [[nodiscard]] Explanation explainEnd(const std::string &id) const
     {
         const auto isEnd = [](const ExplainedLine &line) { return line.event == "request.end"; };
         const bool isWritten = eventually([&] {
-            const Explanation told = explain(id);
-            return std::any_of(told.lines.begin(), told.lines.end(), isEnd);
+            const Explanation explanation = explain(id);
+            return std::any_of(explanation.lines.begin(), explanation.lines.end(), isEnd);
         });
         BOOST_TEST(isWritten);
         return explain(id);
     }
 
-    //! How often an event stands in the logs of all processes.
-    [[nodiscard]] std::size_t logged(const std::string &event) const
+    //! The number of log lines of an event, over all processes.
+    [[nodiscard]] std::size_t logCount(const std::string &event) const
     {
-        return loggedWith(event, {});
+        return matchingLogCount(event, {});
     }
-    //! The same, of lines that hold a text besides, such as a VM's name or a value.
-    [[nodiscard]] std::size_t loggedWith(const std::string &event, const std::string &text) const
+    //! The number of log lines of an event that contain a text.
+    [[nodiscard]] std::size_t matchingLogCount(const std::string &event, const std::string &text) const
     {
         std::size_t count = 0;
         for (const auto &item : std::filesystem::directory_iterator(folder_)) {
@@ -301,12 +302,12 @@
         return count;
     }
 
-    PlatformStage stage;
+    FakePlatform platform;
     FaultInjectingProxy link;
     std::vector<GatewaySettings> ledgers;
     std::vector<GatewaySettings> entrySettings;
     std::vector<std::unique_ptr<GatewayThread>> running;
-    //! How the ledger VMs' disks behave.
+    //! Disk faults of the ledger VMs.
     std::vector<FaultInjectingFiles::SharedFaults> disks;
     std::vector<std::unique_ptr<GatewayThread>> entries;
 
