--- a/include/cardamompost/routing/cp_backend_buckets.hpp
+++ b/include/cardamompost/routing/cp_backend_buckets.hpp
@@ -7,7 +7,7 @@
 namespace cardamompost
 {
 
-//! Backend servers lie in buckets by their ids.
+//! Encodes backend servers in buckets, chosen by a hash of the server id.
 struct BackendBucketCodec {
     using Content = std::vector<BackendServer>;
 
--- a/include/cardamompost/routing/cp_backend_list.hpp
+++ b/include/cardamompost/routing/cp_backend_list.hpp
@@ -8,7 +8,7 @@
 namespace cardamompost
 {
 
-//! A backend server as the list of live and leaving ones has it.
+//! An entry of the list of live and leaving backend servers.
 struct BackendServer {
     std::string id;
     std::string service;
@@ -16,22 +16,22 @@
     std::string failureDomain;
     unsigned slots = 1;
     bool isLeaving = false;
-    //! When this incarnation started, as the server says, in milliseconds since 1970; 0 where it does not. A server may
-    //! start again under its id: the one with the higher number is the later one, and holds nothing of the one before.
+    //! Start time that the server reports, in milliseconds since 1970; 0 if it reports none. A server that restarts
+    //! under the same id has a higher value and keeps no state of its previous incarnation.
     std::uint64_t incarnation = 0;
 
     friend bool operator==(const BackendServer &, const BackendServer &) = default;
 };
 
-//! Keeps one entry of each id: that of the latest incarnation, and of two alike the last one.
+//! Keeps one entry per id: the one with the latest incarnation, or the last one of equal incarnations.
 //!
-//! Guards against a list that lags and shows a server as it was before its restart, in the same list or a later one:
-//! that entry would bring a server back that is gone, and what is known of the one that runs would be forgotten. \param
-//! before  the list that these servers take the place of; of a server in both the later incarnation stays
+//! Stale data may list a server with an incarnation from before its restart. Using that entry would discard the state
+//! of the running incarnation.
+//! \param before  the list that `servers` replaces; for an id in both lists, the later incarnation is kept
 [[nodiscard]] std::vector<BackendServer> latestIncarnations(std::vector<BackendServer> servers,
                                                             const std::vector<BackendServer> &before = {});
 
-//! Which of two lists is newer: that of the reader with the higher term, then the later one of the same reader.
+//! Orders lists by the term of the reader, then by sequence number within the term.
 struct BackendListVersion {
     std::uint64_t term = 0;
     std::uint64_t sequence = 0;
@@ -39,7 +39,7 @@
     friend auto operator<=>(const BackendListVersion &, const BackendListVersion &) = default;
 };
 
-//! The whole list as one reader saw it.
+//! A complete list as read by one reader.
 struct BackendList {
     BackendListVersion version;
     std::vector<BackendServer> servers;
--- a/include/cardamompost/routing/cp_content_buckets.hpp
+++ b/include/cardamompost/routing/cp_content_buckets.hpp
@@ -13,36 +13,36 @@
 namespace cardamompost
 {
 
-//! The items of one bucket, as they travel and are compared.
+//! The encoded items of one bucket.
 struct ContentBucket {
     std::uint32_t number = 0;
     std::string bytes;
 };
 
-//! What a process lacks of some content, or as much of it as goes into one message.
+//! The buckets in which a receiver is stale, as many as fit into one message.
 struct ContentDelta {
     std::vector<ContentBucket> buckets;
-    //! Buckets besides these that differ; the next delta brings them.
+    //! Number of differing buckets left for later deltas.
     std::uint32_t rest = 0;
-    //! Of the whole content, as it is when nothing differs any more.
+    //! Checksum of the whole content of the sender.
     std::uint64_t checksum = 0;
 };
 
-//! The bytes of some content's buckets, whatever its items are. Thread-safety: none.
+//! Encoded buckets of any kind of content, with their digests. Thread-safety: none.
 class BucketBytes
 {
 public:
     static constexpr std::size_t count = 64;
     using All = std::array<std::string, count>;
-    //! One a bucket; an empty bucket's is 0. No digests at all stand for buckets that are all empty.
+    //! One digest per bucket, 0 for an empty bucket. An empty vector stands for empty content.
     using Digests = std::vector<std::uint32_t>;
     static constexpr std::size_t unbounded = std::numeric_limits<std::size_t>::max();
 
     void set(All bytes);
     void set(std::size_t number, std::string bytes);
-    //! What another process with such digests lacks.
-    //! \param mostBytes  after so many the rest is left for later; one bucket is there at least
-    [[nodiscard]] ContentDelta differing(const Digests &held, std::size_t mostBytes) const;
+    //! The buckets whose digests differ from those that a receiver holds.
+    //! \param maxDeltaBytes  size limit; a delta has at least one differing bucket, whatever its size
+    [[nodiscard]] ContentDelta deltaFrom(const Digests &held, std::size_t maxDeltaBytes) const;
 
     [[nodiscard]] const All &bytes() const
     {
@@ -52,7 +52,7 @@
     {
         return digests_;
     }
-    //! Tells apart what digests, which are short since each question carries them, may not.
+    //! A 64-bit hash of all buckets; detects differences that collide in the shorter digests.
     [[nodiscard]] std::uint64_t checksum() const;
 
 private:
@@ -61,8 +61,8 @@
     Digests digests_ = Digests(count, 0);
 };
 
-//! How content of one kind lies in buckets. Equal content makes equal bytes, whoever encodes it; an empty bucket has
-//! none.
+//! Encodes content of one kind in buckets. Equal content encodes to equal bytes in every process; an empty bucket
+//! encodes to no bytes.
 template<typename Codec>
 concept BucketCodec
     = requires(const typename Codec::Content &content, const std::string &bytes, typename Codec::Content &into)
@@ -70,18 +70,17 @@
     {
         Codec::encode(content)
         } -> std::same_as<BucketBytes::All>;
-    //! Adds what a bucket holds. Errors: InvalidRequest.
+    //! Adds the items of a bucket to `into`. Errors: InvalidRequest.
     {
         Codec::decode(bytes, into)
         } -> std::same_as<Result<void>>;
 };
 
-//! Content in buckets by its items' names, so that two processes find out what differs by a few numbers.
+//! Content hashed into buckets by item name, for anti-entropy between processes.
 //!
-//! Whoever asks for news sends the digests of what it holds, and gets just the buckets that differ. So a change among
-//! thousands of items costs some fifty of them, and a new leader whose content is that of the last one sends nothing.
-//! What is large comes in several deltas: what has come stays, whatever becomes of the next question.
-//! Thread-safety: none.
+//! A receiver sends the digests of its buckets and gets those that differ, so a small change costs a few buckets, and a
+//! new leader with unchanged content sends none. Large content is sent in several deltas, each of which is applied
+//! independently of the next. Thread-safety: none.
 template<BucketCodec Codec>
 class ContentBuckets
 {
@@ -94,17 +93,17 @@
     {
         bytes_.set(Codec::encode(content));
     }
-    [[nodiscard]] ContentDelta differing(const Digests &held, std::size_t mostBytes = BucketBytes::unbounded) const
+    [[nodiscard]] ContentDelta deltaFrom(const Digests &held, std::size_t maxDeltaBytes = BucketBytes::unbounded) const
     {
-        return bytes_.differing(held, mostBytes);
+        return bytes_.deltaFrom(held, maxDeltaBytes);
     }
-    //! Errors: InvalidRequest, and nothing is changed.
+    //! Replaces the given buckets. Errors: InvalidRequest, leaving the content unchanged.
     Result<void> take(std::vector<ContentBucket> buckets)
     {
         Content checked;
         for (const ContentBucket &bucket : buckets) {
             if (bucket.number >= count) {
-                return makeError(ErrorKind::InvalidRequest, "no bucket has this number");
+                return makeError(ErrorKind::InvalidRequest, "the bucket number is out of range");
             }
             BOOST_OUTCOME_TRYV(Codec::decode(bucket.bytes, checked));
         }
@@ -113,12 +112,12 @@
         }
         return boost::outcome_v2::success();
     }
-    //! All that the buckets hold, by bucket.
+    //! The decoded items of all buckets, in bucket order.
     [[nodiscard]] Content content() const
     {
         Content content;
         for (const std::string &bytes : bytes_.bytes()) {
-            // It was read when it was taken.
+            // Never fails: each bucket was encoded by set() or checked by take().
             static_cast<void>(Codec::decode(bytes, content));
         }
         return content;
--- a/include/cardamompost/routing/cp_document_buckets.hpp
+++ b/include/cardamompost/routing/cp_document_buckets.hpp
@@ -7,8 +7,8 @@
 namespace cardamompost
 {
 
-//! Routes lie in buckets by host and prefix, services and accounts by their names, and the bounds on callers in one.
-//! The document's version is told beside them: it changes with every document.
+//! Encodes a route document in buckets: routes by host and prefix, services and accounts by name, and the limits on
+//! callers in a fixed bucket. The version is sent separately, as it changes with every document.
 struct DocumentBucketCodec {
     using Content = RouteDocument;
 
--- a/include/cardamompost/routing/cp_route_document.hpp
+++ b/include/cardamompost/routing/cp_route_document.hpp
@@ -13,13 +13,13 @@
 namespace cardamompost
 {
 
-//! What may be repeated of a route's requests.
+//! Whether a route's requests may be retried.
 enum class RouteKind {
-    //! Idempotent: may run more than once.
+    //! Idempotent: may be executed more than once.
     Safe,
-    //! May run once at most.
+    //! May be executed at most once.
     Unsafe,
-    //! Answered by an event stream; may run once at most, unless the route is resumable.
+    //! Answered by an event stream; may be executed at most once unless the route is resumable.
     Streaming,
 };
 
@@ -29,7 +29,7 @@
     Named {RouteKind::Streaming, "streaming"},
 };
 
-//! A service that gets a part of a route's requests.
+//! One target of a weighted split of a route's requests.
 struct RouteShare {
     std::string service;
     std::uint32_t weight = 1;
@@ -37,49 +37,49 @@
     friend bool operator==(const RouteShare &, const RouteShare &) = default;
 };
 
-//! Where requests to a host and path prefix go, and how.
+//! How requests to a host and path prefix are routed.
 struct Route {
     std::string name;
     std::string host;
     //! Begins and ends with a slash.
     std::string prefix;
     RouteKind kind = RouteKind::Unsafe;
-    //! Longest time that a caller may be kept waiting.
+    //! Longest time until the caller gets an answer.
     Milliseconds timeout {0};
-    //! Time within which an answer is worth its full credit.
+    //! Latency within which an answer counts in full.
     Milliseconds targetLatency {0};
-    //! 0 goes first.
+    //! Priority; 0 is the highest.
     unsigned rank = 0;
     std::vector<RouteShare> shares;
-    //! Most backend servers that one request may be sent to.
+    //! Maximum number of backend servers that one request is sent to.
     unsigned maxAttempts = 1;
-    //! The system keeps the turns of this route and puts them before the next one's input.
+    //! Turns of this route are stored and prepended to the input of the next turn.
     bool keepsHistory = false;
     Milliseconds retention {0};
     bool isSticky = false;
-    //! A stream that broke off may go on at another backend server.
+    //! An interrupted stream may be resumed on another backend server.
     bool isResumable = false;
     //! Requests need no access key.
     bool allowsAnonymous = false;
 };
 
-//! What a model engine says of itself in the document.
-struct EngineFacts {
+//! Properties of a model engine as configured in the document.
+struct EngineProperties {
     unsigned slots = 1;
     std::uint64_t cacheTokens = 0;
-    //! Tokens that each event of a stream counts for.
+    //! Tokens counted for each event of a stream.
     unsigned tokensPerEvent = 1;
 };
 
-//! A group of backend servers that can answer the same requests.
+//! A group of interchangeable backend servers.
 struct BackendService {
     std::string name;
     unsigned maxConnections = 64;
     bool isEngine = false;
-    EngineFacts engine;
+    EngineProperties engine;
 };
 
-//! Bounds on what a caller may send, and on how slowly.
+//! Size limits and timeouts of incoming requests.
 struct CallerBounds {
     std::uint32_t headerBytes = 16U << 10U;
     std::uint64_t bodyBytes = 4U << 20U;
@@ -87,18 +87,18 @@
     Milliseconds idleTimeout {15'000};
 };
 
-//! All that operators configure for routing, under one version. The highest version is in force.
+//! The operators' routing configuration. The highest version is in force.
 struct RouteDocument {
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<BackendService> services;
     CallerBounds bounds;
-    //! Requests need the key of an account. False for a document that says nothing of accounts.
+    //! Requests need the key of an account. False if the document does not configure accounts.
     bool hasAccounts = false;
     std::vector<Account> accounts;
 };
 
-//! Errors: InvalidConfiguration naming the first faulty route or account.
+//! Errors: InvalidConfiguration, naming the first invalid route or account.
 [[nodiscard]] Result<void> checkRouteDocument(const RouteDocument &document);
 
 } // namespace cardamompost
--- a/include/cardamompost/routing/cp_route_table.hpp
+++ b/include/cardamompost/routing/cp_route_table.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! A route document prepared for look-ups. Immutable, so that requests under way keep the one they began with.
+//! A route document indexed for lookup. Immutable, so that each request uses one version throughout.
 class RouteTable
 {
 public:
@@ -23,25 +23,25 @@
     {
         return document_.bounds;
     }
-    //! The route of the host with the longest prefix that begins the path; null when there is none.
-    //! \param host  as in the request, with or without a port, in any case
+    //! The route of the host with the longest prefix that matches the path; null if there is none.
+    //! \param host  as in the request, with or without a port; compared case-insensitively
     [[nodiscard]] const Route *find(std::string_view host, std::string_view path) const;
     [[nodiscard]] bool hasRoute(std::string_view name) const;
-    //! Requests need the key of an account, unless their route says otherwise.
+    //! Requests need the key of an account, unless their route allows anonymous ones.
     [[nodiscard]] bool hasAccounts() const
     {
         return document_.hasAccounts;
     }
-    //! Null for a key that no account holds.
+    //! Null for a key of no account.
     [[nodiscard]] const Account *account(const KeyHash &key) const
     {
         return accounts_.find(key);
     }
-    //! Null for a service that the document does not name.
+    //! Null for a service that is not in the document.
     [[nodiscard]] const BackendService *service(std::string_view name) const;
-    //! The service of a request; the same point always gives the same one.
-    //! \param point  a hash that spreads evenly, such as one of the session's name
-    [[nodiscard]] static const std::string &pickService(const Route &route, std::uint64_t point);
+    //! Picks a service by weighted split; deterministic for a given hash.
+    //! \param hash  uniformly distributed, such as a hash of the session's name
+    [[nodiscard]] static const std::string &pickService(const Route &route, std::uint64_t hash);
 
 private:
     RouteDocument document_;
--- a/src/cardamompost/routing/cp_backend_buckets.cpp
+++ b/src/cardamompost/routing/cp_backend_buckets.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-using Part = std::vector<const BackendServer *>;
+using BucketServers = std::vector<const BackendServer *>;
 
-std::string encodePart(Part servers)
+std::string encodeBucket(BucketServers servers)
 {
     if (servers.empty()) {
         return {};
@@ -38,12 +38,12 @@
 
 BucketBytes::All BackendBucketCodec::encode(const Content &servers)
 {
-    std::array<Part, BucketBytes::count> parts;
+    std::array<BucketServers, BucketBytes::count> buckets;
     for (const BackendServer &server : servers) {
-        parts[bucketOf(server.id)].push_back(&server);
+        buckets[bucketOf(server.id)].push_back(&server);
     }
     BucketBytes::All all;
-    std::transform(parts.begin(), parts.end(), all.begin(), encodePart);
+    std::transform(buckets.begin(), buckets.end(), all.begin(), encodeBucket);
     return all;
 }
 
--- a/src/cardamompost/routing/cp_backend_list.cpp
+++ b/src/cardamompost/routing/cp_backend_list.cpp
@@ -9,19 +9,19 @@
                                               const std::vector<BackendServer> &before)
 {
     std::vector<BackendServer> kept;
-    std::unordered_map<std::string, std::size_t> places;
+    std::unordered_map<std::string, std::size_t> positions;
     for (BackendServer &server : servers) {
-        const auto [place, isNew] = places.emplace(server.id, kept.size());
+        const auto [position, isNew] = positions.emplace(server.id, kept.size());
         if (isNew) {
             kept.push_back(std::move(server));
-        } else if (server.incarnation >= kept[place->second].incarnation) {
-            kept[place->second] = std::move(server);
+        } else if (server.incarnation >= kept[position->second].incarnation) {
+            kept[position->second] = std::move(server);
         }
     }
     for (const BackendServer &server : before) {
-        const auto place = places.find(server.id);
-        if (place != places.end() && server.incarnation > kept[place->second].incarnation) {
-            kept[place->second] = server;
+        const auto position = positions.find(server.id);
+        if (position != positions.end() && server.incarnation > kept[position->second].incarnation) {
+            kept[position->second] = server;
         }
     }
     return kept;
--- a/src/cardamompost/routing/cp_bucket_codec.hpp
+++ b/src/cardamompost/routing/cp_bucket_codec.hpp
@@ -9,14 +9,14 @@
 namespace cardamompost
 {
 
-//! The bucket of an item with this name, the same in every process and release.
+//! The bucket of an item, which is the same in every process and release.
 [[nodiscard]] inline std::size_t bucketOf(std::string_view name)
 {
     return stableHash(name) % BucketBytes::count;
 }
 
-//! Reads a bucket's packed message; an empty one holds nothing. Errors: InvalidRequest for other bytes, and those of
-//! `read`.
+//! Reads the packed message of a bucket; empty bytes are an empty bucket. Errors: InvalidRequest for malformed bytes,
+//! and those of `read`.
 template<typename Root, typename Reader>
 Result<void> readBucket(const std::string &bytes, Reader read)
 {
@@ -28,7 +28,7 @@
         capnp::PackedMessageReader message(input, readerOptions());
         return read(message.getRoot<Root>());
     } catch (const kj::Exception &) {
-        return makeError(ErrorKind::InvalidRequest, "the bytes are not a bucket of this kind");
+        return makeError(ErrorKind::InvalidRequest, "malformed bucket");
     }
 }
 
--- a/src/cardamompost/routing/cp_content_buckets.cpp
+++ b/src/cardamompost/routing/cp_content_buckets.cpp
@@ -9,7 +9,7 @@
 
 std::uint64_t hashOf(const std::string &bytes)
 {
-    // 0 is that of an empty bucket alone.
+    // 0 is reserved for an empty bucket.
     return bytes.empty() ? 0 : stableHash(bytes) | 1U;
 }
 
@@ -29,18 +29,18 @@
     bytes_[number] = std::move(bytes);
 }
 
-ContentDelta BucketBytes::differing(const Digests &held, std::size_t mostBytes) const
+ContentDelta BucketBytes::deltaFrom(const Digests &held, std::size_t maxDeltaBytes) const
 {
     ContentDelta delta;
     delta.checksum = checksum();
     std::size_t bytes = 0;
     for (std::uint32_t i = 0; i < count; ++i) {
-        const std::uint32_t other = i < held.size() ? held[i] : 0;
-        if (other == digests_[i]) {
+        const std::uint32_t heldDigest = i < held.size() ? held[i] : 0;
+        if (heldDigest == digests_[i]) {
             continue;
         }
-        const bool isRoomLeft = delta.buckets.empty() || bytes + bytes_[i].size() <= mostBytes;
-        if (delta.rest == 0 && isRoomLeft) {
+        const bool fits = delta.buckets.empty() || bytes + bytes_[i].size() <= maxDeltaBytes;
+        if (delta.rest == 0 && fits) {
             bytes += bytes_[i].size();
             delta.buckets.push_back({i, bytes_[i]});
         } else {
--- a/src/cardamompost/routing/cp_document_buckets.cpp
+++ b/src/cardamompost/routing/cp_document_buckets.cpp
@@ -10,13 +10,13 @@
 namespace
 {
 
-//! The bucket that has the bounds on callers.
+//! The bucket of the limits on callers.
 constexpr std::size_t boundsBucket = 0;
-// In place of an account's rank.
+// Encodes an account without a rank.
 constexpr std::int64_t noRank = -1;
 
-//! What of a document lies in one bucket.
-struct Part {
+//! The items of a document that belong to one bucket.
+struct BucketItems {
     std::vector<const Route *> routes;
     std::vector<const BackendService *> services;
     std::vector<const Account *> accounts;
@@ -54,20 +54,19 @@
     }
 }
 
-//! Routes of a large document differ in name and prefix and in little else. Told once for all that have them in common,
-//! the rest takes a third of the bytes.
+//! Encodes rules that several routes of a bucket share once, as most routes differ in name and prefix only.
 void encodeRoutes(const std::vector<const Route *> &routes, schema::DocumentBucket::Builder bucket)
 {
     auto out = bucket.initRoutes(static_cast<unsigned>(routes.size()));
     std::vector<const Route *> rules;
     for (unsigned i = 0; i < out.size(); ++i) {
         const Route &route = *routes[i];
-        const auto same
+        const auto shared
             = std::find_if(rules.begin(), rules.end(), [&](const Route *other) { return hasSameRules(route, *other); });
         out[i].setName(toText(route.name));
         out[i].setPrefix(toText(route.prefix));
-        out[i].setRules(static_cast<std::uint32_t>(same - rules.begin()));
-        if (same == rules.end()) {
+        out[i].setRules(static_cast<std::uint32_t>(shared - rules.begin()));
+        if (shared == rules.end()) {
             rules.push_back(&route);
         }
     }
@@ -77,12 +76,12 @@
     }
 }
 
-//! A route without a name and prefix.
+//! A route with its rules, without name and prefix.
 Route decodeRules(schema::RouteRules::Reader in)
 {
     Route route;
     route.host = fromText(in.getHost());
-    // Of a kind that this build does not know nothing may be repeated.
+    // Requests of an unknown kind must not be retried.
     route.kind = in.getKind() <= static_cast<std::uint8_t>(RouteKind::Streaming) ? static_cast<RouteKind>(in.getKind())
                                                                                  : RouteKind::Unsafe;
     route.timeout = Milliseconds(in.getTimeoutMs());
@@ -100,7 +99,7 @@
     return route;
 }
 
-//! Errors: InvalidRequest for a route whose rules are not there.
+//! Errors: InvalidRequest for a route that refers to missing rules.
 Result<void> decodeRoutes(schema::DocumentBucket::Reader bucket, std::vector<Route> &routes)
 {
     std::vector<Route> rules;
@@ -109,7 +108,7 @@
     }
     for (const auto in : bucket.getRoutes()) {
         if (in.getRules() >= rules.size()) {
-            return makeError(ErrorKind::InvalidRequest, "a route names rules that its bucket does not have");
+            return makeError(ErrorKind::InvalidRequest, "a route refers to rules that its bucket does not have");
         }
         Route &route = routes.emplace_back(rules[in.getRules()]);
         route.name = fromText(in.getName());
@@ -148,7 +147,7 @@
     }
 }
 
-//! Errors: InvalidRequest for a key that is no hash.
+//! Errors: InvalidRequest for a key hash of the wrong length.
 Result<Account> decodeAccount(schema::Account::Reader in)
 {
     Account account;
@@ -160,7 +159,7 @@
     for (const auto key : in.getKeys()) {
         KeyHash &hash = account.keys.emplace_back();
         if (key.size() != hash.size()) {
-            return makeError(ErrorKind::InvalidRequest, "a key's hash has another length");
+            return makeError(ErrorKind::InvalidRequest, "a key hash has the wrong length");
         }
         std::copy(key.begin(), key.end(), hash.begin());
     }
@@ -181,39 +180,39 @@
             Milliseconds(in.getIdleTimeoutMs())};
 }
 
-//! Items in an order that follows from their names, whatever order the operator's document has.
-void sortByName(Part &part)
+//! Sorts the items, so that the encoding does not depend on their order in the document.
+void sortByName(BucketItems &items)
 {
-    std::sort(part.routes.begin(), part.routes.end(), [](const Route *left, const Route *right) {
+    std::sort(items.routes.begin(), items.routes.end(), [](const Route *left, const Route *right) {
         return std::tie(left->host, left->prefix) < std::tie(right->host, right->prefix);
     });
-    // Of two services with one name the first counts, also after this.
-    std::stable_sort(part.services.begin(), part.services.end(),
+    // Stable, as the first of two services with the same name is used.
+    std::stable_sort(items.services.begin(), items.services.end(),
                      [](const BackendService *left, const BackendService *right) { return left->name < right->name; });
-    std::sort(part.accounts.begin(), part.accounts.end(),
+    std::sort(items.accounts.begin(), items.accounts.end(),
               [](const Account *left, const Account *right) { return left->name < right->name; });
 }
 
-std::string encodePart(Part part)
+std::string encodeBucket(BucketItems items)
 {
-    if (part.routes.empty() && part.services.empty() && part.accounts.empty() && part.bounds == nullptr) {
+    if (items.routes.empty() && items.services.empty() && items.accounts.empty() && items.bounds == nullptr) {
         return {};
     }
-    sortByName(part);
+    sortByName(items);
     capnp::MallocMessageBuilder message;
     auto out = message.initRoot<schema::DocumentBucket>();
-    encodeRoutes(part.routes, out);
-    auto services = out.initServices(static_cast<unsigned>(part.services.size()));
+    encodeRoutes(items.routes, out);
+    auto services = out.initServices(static_cast<unsigned>(items.services.size()));
     for (unsigned i = 0; i < services.size(); ++i) {
-        encodeService(*part.services[i], services[i]);
+        encodeService(*items.services[i], services[i]);
     }
-    auto accounts = out.initAccounts(static_cast<unsigned>(part.accounts.size()));
+    auto accounts = out.initAccounts(static_cast<unsigned>(items.accounts.size()));
     for (unsigned i = 0; i < accounts.size(); ++i) {
-        encodeAccount(*part.accounts[i], accounts[i]);
+        encodeAccount(*items.accounts[i], accounts[i]);
     }
-    out.setHasAccounts(part.hasAccounts);
-    if (part.bounds != nullptr) {
-        encodeBounds(*part.bounds, out.initBounds());
+    out.setHasAccounts(items.hasAccounts);
+    if (items.bounds != nullptr) {
+        encodeBounds(*items.bounds, out.initBounds());
     }
     return toPackedBytes(message);
 }
@@ -222,20 +221,20 @@
 
 BucketBytes::All DocumentBucketCodec::encode(const Content &document)
 {
-    std::array<Part, BucketBytes::count> parts;
+    std::array<BucketItems, BucketBytes::count> buckets;
     for (const Route &route : document.routes) {
-        parts[bucketOf(route.host + route.prefix)].routes.push_back(&route);
+        buckets[bucketOf(route.host + route.prefix)].routes.push_back(&route);
     }
     for (const BackendService &service : document.services) {
-        parts[bucketOf(service.name)].services.push_back(&service);
+        buckets[bucketOf(service.name)].services.push_back(&service);
     }
     for (const Account &account : document.accounts) {
-        parts[bucketOf(account.name)].accounts.push_back(&account);
+        buckets[bucketOf(account.name)].accounts.push_back(&account);
     }
-    parts[boundsBucket].bounds = &document.bounds;
-    parts[boundsBucket].hasAccounts = document.hasAccounts;
+    buckets[boundsBucket].bounds = &document.bounds;
+    buckets[boundsBucket].hasAccounts = document.hasAccounts;
     BucketBytes::All all;
-    std::transform(parts.begin(), parts.end(), all.begin(), encodePart);
+    std::transform(buckets.begin(), buckets.end(), all.begin(), encodeBucket);
     return all;
 }
 
--- a/src/cardamompost/routing/cp_route_document.cpp
+++ b/src/cardamompost/routing/cp_route_document.cpp
@@ -11,22 +11,22 @@
 namespace
 {
 
-Error routeFault(const Route &route, std::string_view what)
+Error routeError(const Route &route, std::string_view message)
 {
-    return makeError(ErrorKind::InvalidConfiguration, fmt::format("route '{}': {}", route.name, what));
+    return makeError(ErrorKind::InvalidConfiguration, fmt::format("route '{}': {}", route.name, message));
 }
 
 Result<void> checkShares(const Route &route, const std::set<std::string_view> &services)
 {
-    std::uint64_t sum = 0;
+    std::uint64_t totalWeight = 0;
     for (const RouteShare &share : route.shares) {
         if (!services.contains(share.service)) {
-            return routeFault(route, fmt::format("the service '{}' is not in the document", share.service));
+            return routeError(route, fmt::format("the document has no service '{}'", share.service));
         }
-        sum += share.weight;
+        totalWeight += share.weight;
     }
-    if (sum == 0) {
-        return routeFault(route, "the weights add up to 0");
+    if (totalWeight == 0) {
+        return routeError(route, "the weights of the services add up to 0");
     }
     return boost::outcome_v2::success();
 }
@@ -34,10 +34,10 @@
 Result<void> checkRoute(const Route &route, const std::set<std::string_view> &services)
 {
     if (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/') {
-        return routeFault(route, "the path prefix must begin and end with a slash");
+        return routeError(route, "the path prefix must begin and end with a slash");
     }
     if (route.timeout.count() <= 0) {
-        return routeFault(route, "the time-out is 0");
+        return routeError(route, "the timeout must be positive");
     }
     return checkShares(route, services);
 }
@@ -50,11 +50,11 @@
     for (const BackendService &service : document.services) {
         services.insert(service.name);
     }
-    std::set<std::pair<std::string_view, std::string_view>> places;
+    std::set<std::pair<std::string_view, std::string_view>> prefixes;
     for (const Route &route : document.routes) {
         BOOST_OUTCOME_TRYV(checkRoute(route, services));
-        if (!places.emplace(route.host, route.prefix).second) {
-            return routeFault(route, "another route has the same host and path prefix");
+        if (!prefixes.emplace(route.host, route.prefix).second) {
+            return routeError(route, "another route has the same host and path prefix");
         }
     }
     return checkAccounts(document.accounts);
--- a/src/cardamompost/routing/cp_route_table.cpp
+++ b/src/cardamompost/routing/cp_route_table.cpp
@@ -9,12 +9,13 @@
 namespace
 {
 
-std::string bareHost(std::string_view host)
+//! The host without its port, in lower case.
+std::string normalizeHost(std::string_view host)
 {
-    std::string bare(host.substr(0, host.find(':')));
-    std::transform(bare.begin(), bare.end(), bare.begin(),
+    std::string normalized(host.substr(0, host.find(':')));
+    std::transform(normalized.begin(), normalized.end(), normalized.begin(),
                    [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; });
-    return bare;
+    return normalized;
 }
 
 } // namespace
@@ -24,7 +25,7 @@
     , accounts_(document_.accounts)
 {
     for (const Route &route : document_.routes) {
-        byHost_[bareHost(route.host)].push_back(&route);
+        byHost_[normalizeHost(route.host)].push_back(&route);
     }
     for (auto &[host, routes] : byHost_) {
         std::sort(routes.begin(), routes.end(),
@@ -37,12 +38,12 @@
 
 const Route *RouteTable::find(std::string_view host, std::string_view path) const
 {
-    const auto found = byHost_.find(bareHost(host));
+    const auto found = byHost_.find(normalizeHost(host));
     if (found == byHost_.end()) {
         return nullptr;
     }
-    const auto begins = [&](const Route *route) { return path.starts_with(route->prefix); };
-    const auto route = std::find_if(found->second.begin(), found->second.end(), begins);
+    const auto matches = [&](const Route *route) { return path.starts_with(route->prefix); };
+    const auto route = std::find_if(found->second.begin(), found->second.end(), matches);
     return route == found->second.end() ? nullptr : *route;
 }
 
@@ -58,19 +59,19 @@
     return found == services_.end() ? nullptr : found->second;
 }
 
-const std::string &RouteTable::pickService(const Route &route, std::uint64_t point)
+const std::string &RouteTable::pickService(const Route &route, std::uint64_t hash)
 {
     std::uint64_t sum = 0;
     for (const RouteShare &share : route.shares) {
         sum += share.weight;
     }
-    checkInvariant(sum > 0, "a checked route has a share with a weight");
-    std::uint64_t rest = point % sum;
+    checkInvariant(sum > 0, "a validated route has a share with a positive weight");
+    std::uint64_t remainder = hash % sum;
     for (const RouteShare &share : route.shares) {
-        if (rest < share.weight) {
+        if (remainder < share.weight) {
             return share.service;
         }
-        rest -= share.weight;
+        remainder -= share.weight;
     }
     return route.shares.back().service;
 }
--- a/src/gateway/cp_ledger_updates.cpp
+++ b/src/gateway/cp_ledger_updates.cpp
@@ -133,11 +133,11 @@
         reply.listAgeMs = static_cast<std::uint32_t>(toMs(std::chrono::steady_clock::now() - listReadAt_));
     }
     if (reply.isLeader && withContent && hasNewList(request)) {
-        reply.listDelta = listBuckets_.differing(request.listDigests, maxUpdateBytes);
+        reply.listDelta = listBuckets_.deltaFrom(request.listDigests, maxUpdateBytes);
     }
     if (reply.isLeader && withContent && hasNewDocument(request)) {
         reply.documentVersion = offeredVersion_;
-        reply.documentDelta = documentBuckets_.differing(request.documentDigests, maxUpdateBytes);
+        reply.documentDelta = documentBuckets_.deltaFrom(request.documentDigests, maxUpdateBytes);
     }
     const std::size_t bytes = bytesOf(reply.listDelta) + bytesOf(reply.documentDelta);
     replier->reply(std::move(reply));
--- a/tests/platform/cp_entry_replica.tests.cpp
+++ b/tests/platform/cp_entry_replica.tests.cpp
@@ -69,13 +69,13 @@
     Entry entry;
     const DocumentBuckets leader = bucketsOf(someRoutes);
     DocumentBuckets held;
-    for (ContentDelta delta = leader.differing({}, smallAnswer); delta.rest > 0;
-         delta = leader.differing(held.digests(), smallAnswer)) {
+    for (ContentDelta delta = leader.deltaFrom({}, smallAnswer); delta.rest > 0;
+         delta = leader.deltaFrom(held.digests(), smallAnswer)) {
         BOOST_REQUIRE(held.take(delta.buckets).has_value());
         entry.take(5, std::move(delta));
         BOOST_TEST(entry.version() == 0U);
     }
-    entry.take(5, leader.differing(held.digests(), smallAnswer));
+    entry.take(5, leader.deltaFrom(held.digests(), smallAnswer));
     BOOST_TEST(entry.version() == 5U);
     BOOST_TEST(entry.forwarder.table()->hasRoute("r-0"));
     BOOST_TEST(entry.forwarder.table()->hasRoute("r-499"));
@@ -87,14 +87,14 @@
 BOOST_AUTO_TEST_CASE(parts_that_do_not_make_the_whole_are_never_in_force)
 {
     Entry entry;
-    entry.take(5, bucketsOf(someRoutes).differing({}));
+    entry.take(5, bucketsOf(someRoutes).deltaFrom({}));
     const DocumentBuckets next = bucketsOf(someRoutes, Milliseconds(5000));
-    ContentDelta lacking = next.differing(bucketsOf(someRoutes).digests());
+    ContentDelta lacking = next.deltaFrom(bucketsOf(someRoutes).digests());
     BOOST_REQUIRE(lacking.buckets.size() > 1U);
     lacking.buckets.pop_back();
     entry.take(6, lacking);
     BOOST_TEST(entry.version() == 5U);
-    entry.take(6, next.differing({}));
+    entry.take(6, next.deltaFrom({}));
     BOOST_TEST(entry.version() == 6U);
 }
 
@@ -102,8 +102,8 @@
 BOOST_AUTO_TEST_CASE(an_older_document_takes_no_newer_ones_place)
 {
     Entry entry;
-    entry.take(6, bucketsOf(2).differing({}));
-    entry.take(5, bucketsOf(1).differing({}));
+    entry.take(6, bucketsOf(2).deltaFrom({}));
+    entry.take(5, bucketsOf(1).deltaFrom({}));
     BOOST_TEST(entry.version() == 6U);
     BOOST_TEST(entry.forwarder.table()->hasRoute("r-1"));
 }
@@ -111,10 +111,10 @@
 BOOST_AUTO_TEST_CASE(bytes_that_are_no_bucket_leave_the_document_in_force)
 {
     Entry entry;
-    entry.take(5, bucketsOf(2).differing({}));
+    entry.take(5, bucketsOf(2).deltaFrom({}));
     entry.take(6, {{{0, "nonsense"}}, 0, 0});
     BOOST_TEST(entry.version() == 5U);
-    entry.take(6, bucketsOf(3).differing({}));
+    entry.take(6, bucketsOf(3).deltaFrom({}));
     BOOST_TEST(entry.version() == 6U);
 }
 
--- a/tests/routing/cp_backend_buckets.tests.cpp
+++ b/tests/routing/cp_backend_buckets.tests.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::size_t manyServers = 3000;
+constexpr std::size_t serverCount = 3000;
 
 std::vector<BackendServer> servers(std::size_t count)
 {
@@ -43,39 +43,39 @@
 
 BOOST_AUTO_TEST_SUITE(backend_buckets)
 
-BOOST_AUTO_TEST_CASE(whoever_holds_nothing_gets_everything)
+BOOST_AUTO_TEST_CASE(an_empty_receiver_gets_all_servers)
 {
     BackendBuckets leader;
-    leader.set(servers(manyServers));
+    leader.set(servers(serverCount));
     BackendBuckets entry;
-    BOOST_REQUIRE(entry.take(leader.differing({}).buckets).has_value());
+    BOOST_REQUIRE(entry.take(leader.deltaFrom({}).buckets).has_value());
     std::vector<BackendServer> got = entry.content();
-    std::vector<BackendServer> sent = servers(manyServers);
+    std::vector<BackendServer> sent = servers(serverCount);
     sort(got);
     sort(sent);
     BOOST_TEST((got == sent));
     BOOST_TEST(entry.digests() == leader.digests(), boost::test_tools::per_element());
 }
 
-// Three hundred VMs before three thousand servers: each change of the list, and each new leader, sent all of it to
-// every entry at once, which took more memory than the leader had. It was ended, and so was the next one.
-BOOST_AUTO_TEST_CASE(a_change_costs_a_small_part_of_the_list_and_a_new_leader_with_the_same_list_nothing)
+// Guards against sending the whole list to every entry on each change and each change of leader, which can exhaust the
+// leader's memory.
+BOOST_AUTO_TEST_CASE(a_delta_holds_only_changed_buckets_and_is_empty_for_an_equal_list)
 {
-    std::vector<BackendServer> list = servers(manyServers);
+    std::vector<BackendServer> list = servers(serverCount);
     BackendBuckets first;
     first.set(list);
     BackendBuckets entry;
-    BOOST_REQUIRE(entry.take(first.differing(entry.digests()).buckets).has_value());
+    BOOST_REQUIRE(entry.take(first.deltaFrom(entry.digests()).buckets).has_value());
     std::reverse(list.begin(), list.end());
     BackendBuckets second;
     second.set(list);
-    BOOST_TEST(second.differing(entry.digests()).buckets.empty());
+    BOOST_TEST(second.deltaFrom(entry.digests()).buckets.empty());
     list.front().isLeaving = true;
     list.pop_back();
     second.set(list);
-    const ContentDelta changed = second.differing(entry.digests());
+    const ContentDelta changed = second.deltaFrom(entry.digests());
     BOOST_TEST(changed.buckets.size() <= 2U);
-    BOOST_TEST(bytesOf(changed) * 10 < bytesOf(second.differing({})));
+    BOOST_TEST(bytesOf(changed) * 10 < bytesOf(second.deltaFrom({})));
     BOOST_REQUIRE(entry.take(changed.buckets).has_value());
     std::vector<BackendServer> got = entry.content();
     sort(got);
@@ -83,24 +83,24 @@
     BOOST_TEST((got == list));
 }
 
-BOOST_AUTO_TEST_CASE(a_bucket_whose_servers_are_all_gone_is_emptied)
+BOOST_AUTO_TEST_CASE(a_bucket_is_emptied_when_its_last_server_is_removed)
 {
     BackendBuckets leader;
     leader.set(servers(1));
     BackendBuckets entry;
-    BOOST_REQUIRE(entry.take(leader.differing(entry.digests()).buckets).has_value());
+    BOOST_REQUIRE(entry.take(leader.deltaFrom(entry.digests()).buckets).has_value());
     leader.set({});
-    BOOST_REQUIRE(entry.take(leader.differing(entry.digests()).buckets).has_value());
+    BOOST_REQUIRE(entry.take(leader.deltaFrom(entry.digests()).buckets).has_value());
     BOOST_TEST(entry.content().empty());
 }
 
-BOOST_AUTO_TEST_CASE(other_bytes_change_nothing)
+BOOST_AUTO_TEST_CASE(malformed_buckets_are_rejected_without_effect)
 {
     BackendBuckets entry;
     BackendBuckets leader;
     leader.set(servers(10));
-    BOOST_REQUIRE(entry.take(leader.differing({}).buckets).has_value());
-    BOOST_TEST(!entry.take({{3, "nonsense that is no message"}}).has_value());
+    BOOST_REQUIRE(entry.take(leader.deltaFrom({}).buckets).has_value());
+    BOOST_TEST(!entry.take({{3, "malformed message bytes"}}).has_value());
     BOOST_TEST(!entry.take({{BackendBuckets::count, {}}}).has_value());
     BOOST_TEST(entry.content().size() == 10U);
 }
--- a/tests/routing/cp_backend_list.tests.cpp
+++ b/tests/routing/cp_backend_list.tests.cpp
@@ -22,27 +22,27 @@
 
 BOOST_AUTO_TEST_SUITE(backend_list)
 
-// An engine starts again under its id. The list lags: it shows the new incarnation, the one before, and the new one
-// again. The second time the engine was forgotten with the turns that run there, and was given as many again.
-BOOST_AUTO_TEST_CASE(a_list_that_lags_does_not_make_an_engine_new_twice)
+// A stale list names the incarnation from before a restart, then the new one again. Taking that for another restart
+// would drop the running turns and overload the engine.
+BOOST_AUTO_TEST_CASE(a_stale_list_does_not_reset_the_turns_of_a_restarted_engine)
 {
     const TimePoint now = TimePoint() + std::chrono::hours(1);
     TurnPlacement placement(7);
     std::vector<BackendServer> list;
-    const auto show = [&](std::uint64_t incarnation) {
+    const auto applyList = [&](std::uint64_t incarnation) {
         list = latestIncarnations({engine(incarnation)}, list);
         placement.setServers(list, now);
     };
-    show(1000);
-    show(2000);
+    applyList(1000);
+    applyList(2000);
     placement.request({"t1", "p1", "engines", "apapa", 0, false, false, Milliseconds(4000)}, now, [](const auto &) {});
     BOOST_TEST(placement.turnsAt("e1") == 1U);
-    show(1000);
-    show(2000);
+    applyList(1000);
+    applyList(2000);
     BOOST_TEST(placement.turnsAt("e1") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_server_that_the_list_does_not_name_any_more_is_gone_whatever_the_list_before_had)
+BOOST_AUTO_TEST_CASE(a_server_missing_from_the_new_list_is_removed)
 {
     BOOST_TEST(latestIncarnations({}, {engine(1000)}).empty());
 }
--- a/tests/routing/cp_document_buckets.tests.cpp
+++ b/tests/routing/cp_document_buckets.tests.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::size_t manyRoutes = 1400;
+constexpr std::size_t routeCount = 1400;
 
 Route route(std::size_t number)
 {
@@ -62,12 +62,12 @@
 
 BOOST_AUTO_TEST_SUITE(document_buckets)
 
-BOOST_AUTO_TEST_CASE(whoever_holds_nothing_gets_every_field)
+BOOST_AUTO_TEST_CASE(an_empty_receiver_gets_every_field)
 {
     DocumentBuckets leader;
     leader.set(document(20));
     DocumentBuckets entry;
-    BOOST_REQUIRE(entry.take(leader.differing({}).buckets).has_value());
+    BOOST_REQUIRE(entry.take(leader.deltaFrom({}).buckets).has_value());
     BOOST_TEST(entry.checksum() == leader.checksum());
     const RouteDocument got = entry.content();
     BOOST_TEST(got.routes.size() == 20U);
@@ -98,73 +98,71 @@
     BOOST_TEST(got.bounds.idleTimeout.count() == 4000);
 }
 
-// Operators changed one time-out among 2,800 routes every third of a second, and each change sent the whole document to
-// 67 entries: more than their way carried, so some went by an old one for seconds.
-BOOST_AUTO_TEST_CASE(a_change_costs_a_small_part_of_the_document_whatever_the_order_of_its_routes)
+// Guards against sending the whole document for a small change, which delays frequent changes at the entries.
+BOOST_AUTO_TEST_CASE(a_delta_holds_only_changed_buckets_whatever_the_order_of_routes)
 {
-    RouteDocument now = document(manyRoutes);
+    RouteDocument now = document(routeCount);
     DocumentBuckets leader;
     leader.set(now);
     DocumentBuckets entry;
-    BOOST_REQUIRE(entry.take(leader.differing({}).buckets).has_value());
+    BOOST_REQUIRE(entry.take(leader.deltaFrom({}).buckets).has_value());
     std::reverse(now.routes.begin(), now.routes.end());
     now.version = 8;
     now.routes.front().timeout = Milliseconds(5000);
     now.routes.pop_back();
     leader.set(now);
-    const ContentDelta changed = leader.differing(entry.digests());
+    const ContentDelta changed = leader.deltaFrom(entry.digests());
     BOOST_TEST(changed.buckets.size() == 2U);
-    BOOST_TEST(bytesOf(changed) * 20 < bytesOf(leader.differing({})));
+    BOOST_TEST(bytesOf(changed) * 20 < bytesOf(leader.deltaFrom({})));
     BOOST_REQUIRE(entry.take(changed.buckets).has_value());
     const RouteDocument got = entry.content();
-    BOOST_TEST(got.routes.size() == manyRoutes - 1);
+    BOOST_TEST(got.routes.size() == routeCount - 1);
     BOOST_TEST(find(got, "r-1399")->timeout.count() == 5000);
     BOOST_TEST(find(got, "r-0") == nullptr);
 }
 
-// A document too long for one answer comes in several. Another one takes its place while half of it is there: what is
-// the same in both stays, and nothing of the first one is left in the second.
-BOOST_AUTO_TEST_CASE(a_long_document_comes_in_parts_that_are_kept_when_another_one_takes_its_place)
+// The document changes while an entry has received part of it: unchanged buckets are kept, changed ones replaced.
+BOOST_AUTO_TEST_CASE(buckets_already_received_are_kept_when_the_document_changes_during_transfer)
 {
-    constexpr std::size_t mostBytes = 10'000;
-    RouteDocument now = document(manyRoutes);
+    constexpr std::size_t maxDeltaBytes = 10'000;
+    RouteDocument now = document(routeCount);
     DocumentBuckets leader;
     leader.set(now);
     DocumentBuckets entry;
-    const std::size_t whole = leader.differing({}).buckets.size();
+    const std::size_t totalBuckets = leader.deltaFrom({}).buckets.size();
     for (std::size_t i = 0; i < 3; ++i) {
-        const ContentDelta delta = leader.differing(entry.digests(), mostBytes);
-        BOOST_TEST(bytesOf(delta) <= mostBytes);
+        const ContentDelta delta = leader.deltaFrom(entry.digests(), maxDeltaBytes);
+        BOOST_TEST(bytesOf(delta) <= maxDeltaBytes);
         BOOST_TEST(delta.rest > 0U);
         BOOST_REQUIRE(entry.take(delta.buckets).has_value());
     }
-    const std::size_t come = whole - leader.differing(entry.digests()).buckets.size();
-    BOOST_TEST(come >= 3U);
+    const std::size_t received = totalBuckets - leader.deltaFrom(entry.digests()).buckets.size();
+    BOOST_TEST(received >= 3U);
     now.routes[5].timeout = Milliseconds(5000);
     leader.set(now);
     std::size_t rest = 0;
     do {
-        const ContentDelta delta = leader.differing(entry.digests(), mostBytes);
+        const ContentDelta delta = leader.deltaFrom(entry.digests(), maxDeltaBytes);
         BOOST_REQUIRE(entry.take(delta.buckets).has_value());
         rest = delta.rest;
     } while (rest > 0);
     BOOST_TEST(entry.checksum() == leader.checksum());
-    BOOST_TEST(entry.content().routes.size() == manyRoutes);
+    BOOST_TEST(entry.content().routes.size() == routeCount);
     BOOST_TEST(find(entry.content(), "r-5")->timeout.count() == 5000);
 }
 
-BOOST_AUTO_TEST_CASE(what_many_routes_have_in_common_is_told_once_a_bucket)
+BOOST_AUTO_TEST_CASE(rules_shared_by_routes_are_encoded_once_per_bucket)
 {
-    const RouteDocument alike = document(manyRoutes);
+    const RouteDocument alike = document(routeCount);
     RouteDocument unlike = alike;
     for (std::size_t i = 0; i < unlike.routes.size(); ++i) {
         unlike.routes[i].timeout = Milliseconds(1000 + i);
     }
     DocumentBuckets leader;
     leader.set(alike);
-    const std::size_t bytesAlike = bytesOf(leader.differing({}));
+    const std::size_t bytesAlike = bytesOf(leader.deltaFrom({}));
     leader.set(unlike);
-    const ContentDelta all = leader.differing({});
+    const ContentDelta all = leader.deltaFrom({});
     BOOST_TEST(bytesAlike * 2 < bytesOf(all));
     DocumentBuckets entry;
     BOOST_REQUIRE(entry.take(all.buckets).has_value());
@@ -172,21 +170,21 @@
     BOOST_TEST(find(entry.content(), "r-1399")->timeout.count() == 2399);
 }
 
-BOOST_AUTO_TEST_CASE(a_bucket_larger_than_an_answer_may_be_comes_alone)
+BOOST_AUTO_TEST_CASE(a_bucket_above_the_size_limit_is_sent_alone)
 {
     DocumentBuckets leader;
-    leader.set(document(manyRoutes));
-    const ContentDelta delta = leader.differing({}, 1);
+    leader.set(document(routeCount));
+    const ContentDelta delta = leader.deltaFrom({}, 1);
     BOOST_TEST(delta.buckets.size() == 1U);
-    BOOST_TEST(delta.rest + 1U == leader.differing({}).buckets.size());
+    BOOST_TEST(delta.rest + 1U == leader.deltaFrom({}).buckets.size());
 }
 
-BOOST_AUTO_TEST_CASE(other_bytes_than_a_bucket_change_nothing)
+BOOST_AUTO_TEST_CASE(malformed_buckets_are_rejected_without_effect)
 {
     DocumentBuckets entry;
     entry.set(document(10));
     const std::uint64_t before = entry.checksum();
-    BOOST_TEST(!entry.take({{3, "nonsense that is no message"}}).has_value());
+    BOOST_TEST(!entry.take({{3, "malformed message bytes"}}).has_value());
     BOOST_TEST(!entry.take({{DocumentBuckets::count, {}}}).has_value());
     BOOST_TEST(entry.checksum() == before);
 }
--- a/tests/routing/cp_route_table.tests.cpp
+++ b/tests/routing/cp_route_table.tests.cpp
@@ -34,7 +34,7 @@
     return result;
 }
 
-std::string faultOf(std::vector<Route> routes)
+std::string validationError(std::vector<Route> routes)
 {
     const Result<void> checked = checkRouteDocument(document(std::move(routes)));
     return checked ? std::string() : checked.error().message;
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_SUITE(route_table)
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_that_begins_the_path_is_taken)
+BOOST_AUTO_TEST_CASE(the_longest_matching_prefix_wins)
 {
     const RouteTable table(document({route("/a/"), route("/a/b/"), route("/")}));
     BOOST_TEST(table.find("plans.example", "/a/b/c")->prefix == "/a/b/");
@@ -52,7 +52,7 @@
     BOOST_TEST(table.find("plans.example", "/x")->prefix == "/");
 }
 
-BOOST_AUTO_TEST_CASE(a_host_is_found_in_any_case_and_with_a_port)
+BOOST_AUTO_TEST_CASE(hosts_match_case_insensitively_and_ignoring_the_port)
 {
     const RouteTable table(document({route("/a/")}));
     BOOST_TEST(table.find("Plans.Example:8080", "/a/1") != nullptr);
@@ -60,34 +60,34 @@
     BOOST_TEST(table.find("plans.example", "/b/1") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(shares_get_their_part_of_the_points)
+BOOST_AUTO_TEST_CASE(requests_are_split_by_weight)
 {
     Route split = route("/a/");
     split.shares = {{"engines", 90}, {"tools", 10}, {"never", 0}};
     int tools = 0;
-    for (std::uint64_t point = 0; point < 1000; ++point) {
-        tools += RouteTable::pickService(split, point) == "tools" ? 1 : 0;
+    for (std::uint64_t hash = 0; hash < 1000; ++hash) {
+        tools += RouteTable::pickService(split, hash) == "tools" ? 1 : 0;
     }
     BOOST_TEST(tools == 100);
 }
 
-BOOST_AUTO_TEST_CASE(a_sound_document_passes)
+BOOST_AUTO_TEST_CASE(a_valid_document_is_accepted)
 {
-    BOOST_TEST(faultOf({route("/a/"), route("/b/")}).empty());
+    BOOST_TEST(validationError({route("/a/"), route("/b/")}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(each_fault_names_its_route)
+BOOST_AUTO_TEST_CASE(validation_errors_name_the_route)
 {
-    Route noTime = route("/a/");
-    noTime.timeout = Milliseconds(0);
-    BOOST_TEST(faultOf({noTime}) == "route 'route /a/': the time-out is 0");
-    Route noWeight = route("/a/");
-    noWeight.shares = {{"engines", 0}, {"tools", 0}};
-    BOOST_TEST(faultOf({noWeight}) == "route 'route /a/': the weights add up to 0");
-    BOOST_TEST(faultOf({route("/a/", "nobody")}) == "route 'route /a/': the service 'nobody' is not in the document");
-    BOOST_TEST(faultOf({route("/a/"), route("/a/")})
+    Route zeroTimeout = route("/a/");
+    zeroTimeout.timeout = Milliseconds(0);
+    BOOST_TEST(validationError({zeroTimeout}) == "route 'route /a/': the timeout must be positive");
+    Route zeroWeights = route("/a/");
+    zeroWeights.shares = {{"engines", 0}, {"tools", 0}};
+    BOOST_TEST(validationError({zeroWeights}) == "route 'route /a/': the weights of the services add up to 0");
+    BOOST_TEST(validationError({route("/a/", "nobody")}) == "route 'route /a/': the document has no service 'nobody'");
+    BOOST_TEST(validationError({route("/a/"), route("/a/")})
                == "route 'route /a/': another route has the same host and path prefix");
-    BOOST_TEST(faultOf({route("/a")}) == "route 'route /a': the path prefix must begin and end with a slash");
+    BOOST_TEST(validationError({route("/a")}) == "route 'route /a': the path prefix must begin and end with a slash");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
