--- a/include/cardamompost/program/cp_call.hpp
+++ b/include/cardamompost/program/cp_call.hpp
@@ -9,14 +9,13 @@
 namespace cardamompost
 {
 
-//! One call of a program as its journal tells it.
+//! One call of a program, built from its journal records.
 struct Call {
     CallAccepted accepted;
     std::int64_t acceptedMs = 0;
     CallMachine machine;
-    //! One for each try to execute it.
     std::vector<CallIntent> attempts;
-    //! Set once the call has its final answer.
+    //! Set when the call has its final answer.
     std::optional<CallResult> result;
 
     [[nodiscard]] bool isFinal() const
--- a/include/cardamompost/program/cp_call_machine.hpp
+++ b/include/cardamompost/program/cp_call_machine.hpp
@@ -8,17 +8,17 @@
 namespace cardamompost
 {
 
-//! Where a call stands.
+//! The state of a call.
 enum class CallState : std::uint8_t {
     //! Journaled, waiting for its turn and a replica.
     Queued,
-    //! The intent of an attempt is journaled; the backend server may have it.
+    //! The intent of an attempt is journaled; the backend server may have received it.
     Dispatched,
-    //! It was executed, and its answer is journaled.
+    //! Executed; the answer is journaled.
     Answered,
-    //! It never was and never will be executed.
+    //! Not executed, and never will be.
     NotRun,
-    //! It may have been executed and will not be again.
+    //! May have been executed; will not be executed again.
     Unknown,
 };
 
@@ -28,22 +28,22 @@
     Named {CallState::Unknown, "unknown"},
 };
 
-//! What moves a call on. Each is a journal record.
+//! An event that changes the state of a call. Each is a journal record.
 enum class CallEvent : std::uint8_t {
-    //! A first attempt, or the next one of a call that may be repeated.
+    //! The first attempt, or a retry of an idempotent call.
     IntentWritten,
-    //! The next attempt after one that provably never reached its backend server.
+    //! A retry after an attempt that provably never reached its backend server.
     IntentAfterNotSent,
     ResultRan,
     ResultNotRun,
     ResultUnknown,
 };
 
-//! The states of a call and the moves between them.
+//! State machine of a call.
 //!
-//! A call that may not be repeated has no move from Dispatched to another attempt, except after one that was not
-//! sent; that is what "at most once" rests on. The moves are the transition table of a Boost.MSM machine in the
-//! source file.
+//! Guarantees at-most-once execution: a call that is not idempotent has no transition from Dispatched to another
+//! attempt, except after one that was not sent. The transitions are the table of a Boost.MSM machine in the source
+//! file.
 class CallMachine
 {
 public:
@@ -52,7 +52,7 @@
     {
     }
 
-    //! False, and no move, for an event that the state has no transition for.
+    //! Returns false and keeps the state if it has no transition for the event.
     [[nodiscard]] bool process(CallEvent event);
 
     [[nodiscard]] CallState state() const
--- a/include/cardamompost/program/cp_call_request.hpp
+++ b/include/cardamompost/program/cp_call_request.hpp
@@ -10,17 +10,17 @@
 namespace cardamompost
 {
 
-//! A caller's call, checked: kind, and the fields that the kind needs.
+//! A validated call: its kind and the fields of that kind.
 struct CallRequest {
     CallKind kind = CallKind::Model;
     bool isIdempotent = true;
     bool isStream = false;
     std::uint32_t sequence = 0;
-    //! A model call's new messages.
+    //! New messages of a model call.
     boost::json::array messages;
-    //! 0 when the caller gave none.
+    //! 0 if the caller gave none.
     std::int64_t maxTokens = 0;
-    //! Sampling settings, handed to the engine as they are.
+    //! Sampling parameters, passed to the engine unchanged.
     boost::json::object parameters;
     std::string service;
     std::string method;
@@ -28,13 +28,14 @@
     std::string body;
 };
 
-//! Reads the body of a call. Errors: InvalidRequest, naming the field.
+//! Parses the body of a call. Errors: InvalidRequest, naming the field.
 [[nodiscard]] Result<CallRequest> parseCallRequest(std::string_view json);
 
-//! Reads an OpenAI chat completion's body; the model's name goes to modelName. Errors: InvalidRequest.
+//! Parses the body of an OpenAI chat completion and stores the name of the model in `modelName`. Errors:
+//! InvalidRequest.
 [[nodiscard]] Result<CallRequest> parseChatRequest(std::string_view json, std::string &modelName);
 
-//! What a program's creation asks for.
+//! Parameters of a new program.
 struct ProgramRequest {
     std::string deployment;
     std::string workClass;
@@ -43,27 +44,27 @@
     ProgramId parent;
 };
 
-//! Reads the body of a creation. Errors: InvalidRequest, naming the field.
+//! Parses the body of a request that creates a program. Errors: InvalidRequest, naming the field.
 [[nodiscard]] Result<ProgramRequest> parseProgramRequest(std::string_view json);
 
-//! A JSON object, checked for depth and UTF-8. Errors: InvalidRequest with what is wrong.
+//! Parses a JSON object, checking nesting depth and UTF-8. Errors: InvalidRequest, naming the fault.
 [[nodiscard]] Result<boost::json::object> parseJsonObject(std::string_view json);
 
 //! The form in which a call is journaled.
 [[nodiscard]] std::string encodeCallRequest(const CallRequest &request);
-//! The inverse of encodeCallRequest(), which also holds what a caller may not send.
+//! The inverse of encodeCallRequest(). The JSON must come from it, as a caller's is not validated here.
 [[nodiscard]] CallRequest decodeCallRequest(CallKind kind, std::string_view json);
 
-//! Most tokens that messages can make: a token has at least one byte, and each message a few of its own.
+//! Upper bound of the tokens of messages: one per byte, plus a fixed overhead per message.
 [[nodiscard]] std::int64_t promptTokenBound(const boost::json::array &messages);
 
-//! The messages of all model calls of a program that ran, up to a sequence, with their answers.
+//! Messages and answers of the model calls of a program that ran, with sequence numbers below `before`.
 [[nodiscard]] boost::json::array historyMessages(const Program &program, std::uint32_t before);
 
-//! A program's calls in order, as callers see them.
+//! The calls of a program in order, in the form that callers get.
 [[nodiscard]] boost::json::array historyCalls(const Program &program);
 
-//! Leaves out the messages at the front that the history holds already, as clients send them that keep it too.
+//! Removes the history from the front of the messages, for clients that send the whole conversation each time.
 [[nodiscard]] boost::json::array withoutHistory(const boost::json::array &messages, const boost::json::array &history);
 
 } // namespace cardamompost
--- a/include/cardamompost/program/cp_program.hpp
+++ b/include/cardamompost/program/cp_program.hpp
@@ -9,11 +9,11 @@
 namespace cardamompost
 {
 
-//! Tokens of a program's budget.
+//! The token budget of a program.
 struct BudgetUse {
     std::int64_t limit = 0;
     std::int64_t spent = 0;
-    //! Held for calls and programs of sub-agents that have not ended.
+    //! Reserved for open calls and running sub-agents.
     std::int64_t reserved = 0;
 
     [[nodiscard]] std::int64_t remaining() const
@@ -22,14 +22,14 @@
     }
 };
 
-//! One program, made from its journal records alone: applying the same records gives the same program on any VM.
-//! Thread-safety: none; the partition's lock guards it.
+//! State of a program, replayed from its journal records: the same records give the same state on any VM.
+//! Thread-safety: none; guarded by the lock of its partition.
 class Program
 {
 public:
     Program(ProgramId id, ProgramCreated created, std::int64_t wallMs);
 
-    //! Applies a record, at the journal index where it stands.
+    //! Applies the record at a journal index.
     void apply(const JournalRecord &record, LogIndex index);
 
     [[nodiscard]] const ProgramId &id() const
@@ -66,33 +66,33 @@
     }
     [[nodiscard]] const Call *findCall(std::uint32_t sequence) const;
     [[nodiscard]] std::optional<std::uint32_t> sequenceOfKey(const std::string &idempotencyKey) const;
-    //! The refusal that stands for a key; null for none.
+    //! The refusal recorded for a key; null for none.
     [[nodiscard]] const CallRefused *refusalOf(const std::string &idempotencyKey) const;
-    //! The sequence that the program's next call must have. A call that was not run gives its number back.
+    //! The sequence number required of the next call. Numbers of trailing calls that were not run are reused.
     [[nodiscard]] std::uint32_t nextSequence() const;
-    //! The first call without a final answer; nothing when there is none.
+    //! The first call without a final answer; empty if there is none.
     [[nodiscard]] std::optional<std::uint32_t> firstOpenCall() const;
-    //! Tokens of the history so far, as the engine counted them.
+    //! Tokens of the history, as counted by the engine.
     [[nodiscard]] std::int64_t historyTokens() const
     {
         return historyTokens_;
     }
-    //! Tokens that engines have computed for it: what fairness between programs goes by.
+    //! Tokens that engines computed for the program, used for fairness between programs.
     [[nodiscard]] std::int64_t attainedTokens() const
     {
         return attainedTokens_;
     }
-    //! Replicas that may hold something for it and have not confirmed that they let go.
+    //! Replicas that may hold resources of the program and have not confirmed their release.
     [[nodiscard]] const std::set<std::string> &heldBackends() const
     {
         return heldBackends_;
     }
-    //! The replica of the last attempt; empty before the first.
+    //! The replica of the last attempt; empty before the first attempt.
     [[nodiscard]] const std::string &lastBackend() const
     {
         return lastBackend_;
     }
-    //! Where its records stand in the journal.
+    //! Journal indexes of the program's records.
     [[nodiscard]] const std::vector<LogIndex> &indexes() const
     {
         return indexes_;
@@ -103,8 +103,9 @@
         return textBytes_;
     }
 
-    //! Counts a sub-agent's program into the budget of this one.
+    //! Reserves the budget of a sub-agent's program.
     void reserveForChild(std::int64_t tokens);
+    //! Replaces the reservation of a sub-agent's program by the tokens it spent.
     void settleChild(std::int64_t reserved, std::int64_t spent);
 
 private:
--- a/src/cardamompost/program/cp_call_machine.cpp
+++ b/src/cardamompost/program/cp_call_machine.cpp
@@ -39,7 +39,7 @@
     };
     using initial_state = Queued;
 
-    struct MayRepeat {
+    struct IsIdempotent {
         template<typename Event, typename Machine, typename Source, typename Target>
         bool operator()(const Event & /*event*/, const Machine &machine, const Source & /*source*/,
                         const Target & /*target*/) const
@@ -54,7 +54,7 @@
     // Boost.MSM prescribes the name.
     struct transition_table // NOLINT(readability-identifier-naming)
         : boost::mpl::vector<Row<Queued, IntentWritten, Dispatched>, Row<Queued, ResultNotRun, NotRun>,
-                             Row<Dispatched, IntentWritten, Dispatched, MayRepeat>,
+                             Row<Dispatched, IntentWritten, Dispatched, IsIdempotent>,
                              Row<Dispatched, IntentAfterNotSent, Dispatched>, Row<Dispatched, ResultRan, Answered>,
                              Row<Dispatched, ResultNotRun, NotRun>, Row<Dispatched, ResultUnknown, Unknown>> {
     };
@@ -69,17 +69,17 @@
 
 using CallBackEnd = msm::back::state_machine<CallTable>;
 
-// The numbers that the back end gives the states, in the order in which the table names them first.
+// The back end numbers the states in the order of their first use in the transition table.
 constexpr std::array stateOrder {CallState::Queued, CallState::Dispatched, CallState::NotRun, CallState::Answered,
                                  CallState::Unknown};
 
-//! A back end that starts from any state. Calls number tens of thousands, so they keep one byte instead of a machine.
+//! A back end that can start from any state that is not final, so that a call stores its state only.
 class RestartableBackEnd : public CallBackEnd
 {
 public:
-    RestartableBackEnd(CallState from, bool mayRepeat)
+    RestartableBackEnd(CallState from, bool isIdempotentCall)
     {
-        isIdempotent = mayRepeat;
+        isIdempotent = isIdempotentCall;
         start();
         if (from == CallState::Dispatched) {
             process_event(IntentWritten {});
--- a/src/cardamompost/program/cp_call_request.cpp
+++ b/src/cardamompost/program/cp_call_request.cpp
@@ -26,7 +26,7 @@
     "temperature", "top_p", "stop", "seed", "presence_penalty", "frequency_penalty", "response_format", "tools"};
 const std::array<std::string_view, 5> serviceMethods {"GET", "POST", "PUT", "DELETE", "PATCH"};
 
-Error invalid(std::string_view field, std::string_view text)
+Error invalidField(std::string_view field, std::string_view text)
 {
     return makeError(ErrorKind::InvalidRequest,
                      field.empty() ? std::string(text) : fmt::format("'{}' {}", field, text));
@@ -37,12 +37,12 @@
     const json::value *value = object.if_contains(field);
     if (value == nullptr) {
         if (isRequired) {
-            return invalid(field, "is required");
+            return invalidField(field, "is required");
         }
         return std::string();
     }
     if (!value->is_string()) {
-        return invalid(field, "has to be a string");
+        return invalidField(field, "must be a string");
     }
     return std::string(value->as_string());
 }
@@ -55,7 +55,7 @@
         return fallback;
     }
     if (!value->is_int64() || value->as_int64() < min || value->as_int64() > max) {
-        return invalid(field, fmt::format("has to be a whole number from {} to {}", min, max));
+        return invalidField(field, fmt::format("must be a whole number from {} to {}", min, max));
     }
     return value->as_int64();
 }
@@ -67,7 +67,7 @@
         return fallback;
     }
     if (!value->is_bool()) {
-        return invalid(field, "has to be true or false");
+        return invalidField(field, "must be true or false");
     }
     return value->as_bool();
 }
@@ -76,20 +76,20 @@
 {
     const json::value *value = object.if_contains("messages");
     if (value == nullptr || !value->is_array()) {
-        return invalid("messages", "has to be a list");
+        return invalidField("messages", "must be a list");
     }
     const json::array &messages = value->as_array();
     if (messages.empty() || messages.size() > maxMessages) {
-        return invalid("messages", fmt::format("needs 1 to {} messages", maxMessages));
+        return invalidField("messages", fmt::format("must hold 1 to {} messages", maxMessages));
     }
     for (std::size_t i = 0; i < messages.size(); ++i) {
         const json::object *message = messages[i].if_object();
         const json::value *role = message == nullptr ? nullptr : message->if_contains("role");
         if (role == nullptr || !role->is_string()) {
-            return invalid(fmt::format("messages[{}].role", i), "has to be a string");
+            return invalidField(fmt::format("messages[{}].role", i), "must be a string");
         }
         if (!message->contains("content")) {
-            return invalid(fmt::format("messages[{}].content", i), "is required");
+            return invalidField(fmt::format("messages[{}].content", i), "is required");
         }
     }
     return messages;
@@ -117,13 +117,13 @@
     BOOST_OUTCOME_TRY(request.path, readText(object, "path", true));
     BOOST_OUTCOME_TRY(request.isIdempotent, readBool(object, "idempotent", false));
     if (std::find(serviceMethods.begin(), serviceMethods.end(), request.method) == serviceMethods.end()) {
-        return invalid("method", "has to be GET, POST, PUT, DELETE or PATCH");
+        return invalidField("method", "must be GET, POST, PUT, DELETE or PATCH");
     }
-    const auto isBad
+    const auto isForbidden
         = [](char c) { return static_cast<unsigned char>(c) <= ' ' || static_cast<unsigned char>(c) >= 0x7FU; };
     if (request.path.empty() || request.path.front() != '/'
-        || std::any_of(request.path.begin(), request.path.end(), isBad)) {
-        return invalid("path", "has to begin with '/' and hold no blanks or control characters");
+        || std::any_of(request.path.begin(), request.path.end(), isForbidden)) {
+        return invalidField("path", "must begin with '/' and contain no whitespace or control characters");
     }
     if (const json::value *body = object.if_contains("body")) {
         request.body = body->is_string() ? std::string(body->as_string()) : json::serialize(*body);
@@ -131,13 +131,13 @@
     return boost::outcome_v2::success();
 }
 
-Result<void> refuseUnknown(const json::object &object, std::initializer_list<std::string_view> known)
+Result<void> rejectUnknownFields(const json::object &object, std::initializer_list<std::string_view> known)
 {
     for (const auto &field : object) {
         const bool isSampling
             = std::find(samplingFields.begin(), samplingFields.end(), field.key()) != samplingFields.end();
         if (!isSampling && std::find(known.begin(), known.end(), std::string_view(field.key())) == known.end()) {
-            return invalid(field.key(), "is not known");
+            return invalidField(field.key(), "is not known");
         }
     }
     return boost::outcome_v2::success();
@@ -152,10 +152,10 @@
     boost::system::error_code error;
     json::value value = json::parse(text, error, {}, options);
     if (error) {
-        return invalid({}, "the body is not JSON: " + error.message());
+        return invalidField({}, "the body is not JSON: " + error.message());
     }
     if (!value.is_object()) {
-        return invalid({}, "the body has to be a JSON object");
+        return invalidField({}, "the body must be a JSON object");
     }
     return std::move(value.as_object());
 }
@@ -166,19 +166,19 @@
     CallRequest request;
     BOOST_OUTCOME_TRY(const std::int64_t sequence, readNumber(object, "sequence", 0, 1, 1'000'000));
     if (sequence == 0) {
-        return invalid("sequence", "is required");
+        return invalidField("sequence", "is required");
     }
     request.sequence = static_cast<std::uint32_t>(sequence);
     BOOST_OUTCOME_TRY(const std::string kind, readText(object, "kind", true));
     if (kind == "model") {
-        BOOST_OUTCOME_TRYV(refuseUnknown(object, {"sequence", "kind", "messages", "max_tokens", "stream"}));
+        BOOST_OUTCOME_TRYV(rejectUnknownFields(object, {"sequence", "kind", "messages", "max_tokens", "stream"}));
         BOOST_OUTCOME_TRYV(readModelFields(object, request));
     } else if (kind == "service") {
         BOOST_OUTCOME_TRYV(
-            refuseUnknown(object, {"sequence", "kind", "service", "method", "path", "body", "idempotent"}));
+            rejectUnknownFields(object, {"sequence", "kind", "service", "method", "path", "body", "idempotent"}));
         BOOST_OUTCOME_TRYV(readServiceFields(object, request));
     } else {
-        return invalid("kind", "has to be 'model' or 'service'");
+        return invalidField("kind", "must be 'model' or 'service'");
     }
     return request;
 }
@@ -197,7 +197,7 @@
 Result<ProgramRequest> parseProgramRequest(std::string_view text)
 {
     BOOST_OUTCOME_TRY(const json::object object, parseJsonObject(text));
-    BOOST_OUTCOME_TRYV(refuseUnknown(object, {"deployment", "class", "budget_tokens", "deadline_ms", "parent"}));
+    BOOST_OUTCOME_TRYV(rejectUnknownFields(object, {"deployment", "class", "budget_tokens", "deadline_ms", "parent"}));
     ProgramRequest request;
     BOOST_OUTCOME_TRY(request.deployment, readText(object, "deployment", true));
     BOOST_OUTCOME_TRY(request.workClass, readText(object, "class", true));
@@ -205,7 +205,7 @@
     BOOST_OUTCOME_TRY(request.deadlineMs, readNumber(object, "deadline_ms", 0, 1, maxDeadlineMs));
     BOOST_OUTCOME_TRY(request.parent, readText(object, "parent", false));
     if (!request.parent.empty() && !isProgramId(request.parent)) {
-        return invalid("parent", "has to be a program's id");
+        return invalidField("parent", "must be a program's id");
     }
     return request;
 }
@@ -297,7 +297,7 @@
 
 json::array withoutHistory(const json::array &messages, const json::array &history)
 {
-    // Clients drop or reorder fields of their own in what they send back, so role and content decide.
+    // Compares role and content only, as clients may drop or reorder other fields.
     const auto isSame = [](const json::value &a, const json::value &b) {
         return a.at("role") == b.at("role") && a.at("content") == b.at("content");
     };
--- a/src/cardamompost/program/cp_journal_record.cpp
+++ b/src/cardamompost/program/cp_journal_record.cpp
@@ -178,7 +178,7 @@
         return record;
     } catch (const kj::Exception &error) {
         return makeError(ErrorKind::StorageCorrupt,
-                         std::string("a journal record can't be read: ") + error.getDescription().cStr());
+                         std::string("malformed journal record: ") + error.getDescription().cStr());
     }
 }
 
--- a/src/cardamompost/program/cp_program.cpp
+++ b/src/cardamompost/program/cp_program.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Refusals kept for one program; a copy of a request that is older than this many refusals is not expected.
+// Refusals kept per program; a repeat of an older refused request is not recognized.
 constexpr std::size_t maxRefusals = 1024;
 
 CallEvent eventOf(Outcome outcome)
@@ -70,7 +70,7 @@
     call.acceptedMs = wallMs;
     call.machine = CallMachine(accepted.isIdempotent);
     budget_.reserved += accepted.reservedTokens;
-    checkInvariant(budget_.remaining() >= 0, "a program never spends beyond its budget");
+    checkInvariant(budget_.remaining() >= 0, "a program never exceeds its budget");
     textBytes_ += accepted.request.size();
     calls_.insert_or_assign(accepted.sequence, std::move(call));
     if (!accepted.idempotencyKey.empty()) {
@@ -81,12 +81,13 @@
 void Program::applyIntent(const CallIntent &intent)
 {
     Call &call = calls_.at(intent.sequence);
-    checkInvariant(firstOpenCall() == intent.sequence, "a call is sent only when those before it have their answers");
-    // A second intent of a call that may not be repeated is written only after its first was provably not sent;
-    // the writer checks that, since the journal does not hold it.
+    checkInvariant(firstOpenCall() == intent.sequence,
+                   "a call is sent only after all earlier calls have final answers");
+    // The journal does not record whether an attempt was sent. The writer ensures that a call that is not idempotent
+    // gets another intent only after one that was not sent.
     const bool isRetry = call.machine.state() == CallState::Dispatched && !call.accepted.isIdempotent;
-    const bool isLegal = call.machine.process(isRetry ? CallEvent::IntentAfterNotSent : CallEvent::IntentWritten);
-    checkInvariant(isLegal, "an intent fits the state of its call");
+    const bool isValid = call.machine.process(isRetry ? CallEvent::IntentAfterNotSent : CallEvent::IntentWritten);
+    checkInvariant(isValid, "an intent is valid in the state of its call");
     call.attempts.push_back(intent);
     if (call.accepted.kind == CallKind::Model) {
         heldBackends_.insert(intent.backend);
@@ -97,12 +98,13 @@
 void Program::applyResult(const CallResult &result)
 {
     Call &call = calls_.at(result.sequence);
-    checkInvariant(call.machine.process(eventOf(result.outcome)), "a call has one final answer that fits its state");
+    checkInvariant(call.machine.process(eventOf(result.outcome)),
+                   "a call has one final answer that is valid in its state");
     settle(call, result);
     textBytes_ += result.answer.size();
     call.result = result;
     if (result.outcome == Outcome::NotRun && !call.accepted.idempotencyKey.empty()) {
-        // The refusal stands for this key, while the sequence may be used again under another one.
+        // Keeps the refusal for this key, as the sequence number may be reused under another key.
         refusals_.insert_or_assign(call.accepted.idempotencyKey,
                                    CallRefused {call.accepted.idempotencyKey, result.errorKind, result.errorMessage});
     }
@@ -123,7 +125,7 @@
     case Outcome::NotRun:
         break;
     case Outcome::Unknown:
-        // What an engine did for it is not known, so all that it could have cost counts as spent.
+        // The actual use is unknown, so the whole reservation counts as spent.
         budget_.spent += call.accepted.reservedTokens;
         break;
     }
@@ -159,7 +161,7 @@
 
 std::optional<std::uint32_t> Program::firstOpenCall() const
 {
-    // Open calls stand at the end, so the search goes backwards and is short.
+    // Open calls are the last ones, so a backward search is short.
     std::optional<std::uint32_t> open;
     for (auto call = calls_.rbegin(); call != calls_.rend() && !call->second.isFinal(); ++call) {
         open = call->first;
@@ -170,7 +172,7 @@
 void Program::reserveForChild(std::int64_t tokens)
 {
     budget_.reserved += tokens;
-    checkInvariant(budget_.remaining() >= 0, "a program never spends beyond its budget");
+    checkInvariant(budget_.remaining() >= 0, "a program never exceeds its budget");
 }
 
 void Program::settleChild(std::int64_t reserved, std::int64_t spent)
--- a/tests/program/cp_program.tests.cpp
+++ b/tests/program/cp_program.tests.cpp
@@ -13,9 +13,9 @@
 
 const ProgramId programId = "0123456789abcdef0123456789abcdef";
 
-//! A program to which records are applied as its owner would write them.
-struct Story {
-    Story()
+//! Applies journal records to a program in the form that its owner writes them.
+struct ProgramFixture {
+    ProgramFixture()
         : program(programId, {"officers", "agents", "plan", 1000, 0, "", 0, false, ""}, 100)
     {
     }
@@ -60,7 +60,7 @@
 
 BOOST_AUTO_TEST_SUITE(program)
 
-BOOST_AUTO_TEST_CASE(a_call_machine_knows_the_end_of_each_event)
+BOOST_AUTO_TEST_CASE(each_result_event_leads_to_its_final_state)
 {
     CallMachine machine;
     BOOST_TEST(machine.process(CallEvent::IntentWritten));
@@ -78,8 +78,7 @@
     BOOST_TEST(!ran.process(CallEvent::ResultUnknown));
 }
 
-// A cargo declaration is sent, and its owner is lost. If the next owner could write a second intent, the cargo would be
-// counted twice and the draft survey disputed.
+// Guards against double execution when the owner fails after sending: the next owner must not write a second intent.
 BOOST_AUTO_TEST_CASE(a_call_that_may_not_be_repeated_has_no_second_attempt)
 {
     CallMachine machine(false);
@@ -93,102 +92,101 @@
 
 BOOST_AUTO_TEST_CASE(the_budget_is_reserved_before_and_settled_after)
 {
-    Story story;
-    story.accept(1, true, 400);
-    BOOST_TEST(story.program.budget().remaining() == 600);
-    story.intent(1);
-    story.result(1, Outcome::Ran, 50, 30);
-    BOOST_TEST(story.program.budget().spent == 80);
-    BOOST_TEST(story.program.budget().reserved == 0);
-    BOOST_TEST(story.program.historyTokens() == 80);
+    ProgramFixture fixture;
+    fixture.accept(1, true, 400);
+    BOOST_TEST(fixture.program.budget().remaining() == 600);
+    fixture.intent(1);
+    fixture.result(1, Outcome::Ran, 50, 30);
+    BOOST_TEST(fixture.program.budget().spent == 80);
+    BOOST_TEST(fixture.program.budget().reserved == 0);
+    BOOST_TEST(fixture.program.historyTokens() == 80);
 }
 
-BOOST_AUTO_TEST_CASE(what_a_call_may_have_cost_counts_as_spent_when_nobody_knows)
+BOOST_AUTO_TEST_CASE(a_call_with_unknown_outcome_spends_its_whole_reservation)
 {
-    Story story;
-    story.accept(1, true, 400);
-    story.intent(1);
-    story.result(1, Outcome::Unknown);
-    BOOST_TEST(story.program.budget().spent == 400);
+    ProgramFixture fixture;
+    fixture.accept(1, true, 400);
+    fixture.intent(1);
+    fixture.result(1, Outcome::Unknown);
+    BOOST_TEST(fixture.program.budget().spent == 400);
 }
 
 BOOST_AUTO_TEST_CASE(a_reservation_above_the_budget_breaks_an_invariant)
 {
     const ThrowingInvariants guard;
-    Story story;
-    BOOST_CHECK_THROW(story.accept(1, true, 1001), Violation);
+    ProgramFixture fixture;
+    BOOST_CHECK_THROW(fixture.accept(1, true, 1001), Violation);
 }
 
 BOOST_AUTO_TEST_CASE(calls_are_sent_in_the_order_of_their_sequence)
 {
     const ThrowingInvariants guard;
-    Story story;
-    story.accept(1);
-    story.accept(2);
-    BOOST_CHECK_THROW(story.intent(2), Violation);
-    BOOST_CHECK_THROW(story.accept(5), Violation);
+    ProgramFixture fixture;
+    fixture.accept(1);
+    fixture.accept(2);
+    BOOST_CHECK_THROW(fixture.intent(2), Violation);
+    BOOST_CHECK_THROW(fixture.accept(5), Violation);
 }
 
-// A caller is told "not run" for its third call and makes another one in its place. The sequence is free again, while
-// a late copy of the refused request still meets its refusal.
+// The sequence number of a refused call is reused, while a late repeat of the refused request is still refused.
 BOOST_AUTO_TEST_CASE(a_call_that_was_not_run_gives_its_sequence_back_but_keeps_its_refusal)
 {
-    Story story;
-    story.accept(1, true, 100, "first");
-    story.result(1, Outcome::NotRun);
-    BOOST_TEST(story.program.nextSequence() == 1U);
-    BOOST_TEST(story.program.refusalOf("first") != nullptr);
-    story.accept(1, true, 100, "second");
-    BOOST_TEST(story.program.nextSequence() == 2U);
-    BOOST_TEST(story.program.refusalOf("second") == nullptr);
+    ProgramFixture fixture;
+    fixture.accept(1, true, 100, "first");
+    fixture.result(1, Outcome::NotRun);
+    BOOST_TEST(fixture.program.nextSequence() == 1U);
+    BOOST_TEST(fixture.program.refusalOf("first") != nullptr);
+    fixture.accept(1, true, 100, "second");
+    BOOST_TEST(fixture.program.nextSequence() == 2U);
+    BOOST_TEST(fixture.program.refusalOf("second") == nullptr);
 }
 
 BOOST_AUTO_TEST_CASE(a_sub_agent_spends_its_parents_budget)
 {
-    Story story;
-    story.program.reserveForChild(300);
-    BOOST_TEST(story.program.budget().remaining() == 700);
-    story.program.settleChild(300, 120);
-    BOOST_TEST(story.program.budget().remaining() == 880);
+    ProgramFixture fixture;
+    fixture.program.reserveForChild(300);
+    BOOST_TEST(fixture.program.budget().remaining() == 700);
+    fixture.program.settleChild(300, 120);
+    BOOST_TEST(fixture.program.budget().remaining() == 880);
 }
 
 BOOST_AUTO_TEST_CASE(history_holds_the_messages_and_answers_of_model_calls_that_ran)
 {
-    Story story;
-    story.accept(1);
-    story.intent(1);
-    story.result(1, Outcome::Ran);
-    story.accept(2, false, 0);
-    story.intent(2);
-    story.result(2, Outcome::Unknown);
-    story.accept(3);
-    const boost::json::array messages = historyMessages(story.program, story.program.nextSequence());
+    ProgramFixture fixture;
+    fixture.accept(1);
+    fixture.intent(1);
+    fixture.result(1, Outcome::Ran);
+    fixture.accept(2, false, 0);
+    fixture.intent(2);
+    fixture.result(2, Outcome::Unknown);
+    fixture.accept(3);
+    const boost::json::array messages = historyMessages(fixture.program, fixture.program.nextSequence());
     BOOST_TEST(boost::json::serialize(messages)
                == R"([{"role":"user","content":"question"},{"role":"assistant","content":"answer"}])");
-    BOOST_TEST(historyCalls(story.program).size() == 3U);
+    BOOST_TEST(historyCalls(fixture.program).size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(the_same_records_make_the_same_program)
 {
-    Story story;
-    story.accept(1, true, 200, "key");
-    story.intent(1);
-    story.result(1, Outcome::Ran, 10, 5);
-    story.apply(CallRefused {"late", "over-limit", "too many"});
-    story.apply(ProgramEnded {"done"});
+    ProgramFixture fixture;
+    fixture.accept(1, true, 200, "key");
+    fixture.intent(1);
+    fixture.result(1, Outcome::Ran, 10, 5);
+    fixture.apply(CallRefused {"late", "over-limit", "too many"});
+    fixture.apply(ProgramEnded {"done"});
     const JournalRecord record {programId, 7, CallIntent {1, 2, "replica-9", 55, 2, 17, "kept text"}};
     const JournalRecord copy = decodeRecord(encodeRecord(record)).value();
     const auto &intent = std::get<CallIntent>(copy.body);
     BOOST_TEST(intent.keptText == "kept text");
     BOOST_TEST(intent.keptTokens == 17U);
     BOOST_TEST(copy.program == programId);
-    BOOST_TEST(story.program.hasEnded());
-    BOOST_TEST(story.program.heldBackends().contains("replica-1"));
-    story.apply(BackendReleased {"replica-1"});
-    BOOST_TEST(story.program.heldBackends().empty());
+    BOOST_TEST(fixture.program.hasEnded());
+    BOOST_TEST(fixture.program.heldBackends().contains("replica-1"));
+    fixture.apply(BackendReleased {"replica-1"});
+    BOOST_TEST(fixture.program.heldBackends().empty());
 }
 
-BOOST_AUTO_TEST_CASE(messages_that_the_history_holds_are_left_out)
+BOOST_AUTO_TEST_CASE(messages_already_in_the_history_are_removed)
 {
     const auto message = [](std::string_view role, std::string_view text) {
         return boost::json::object {{"role", role}, {"content", text}};
@@ -200,26 +198,26 @@
     BOOST_TEST(withoutHistory(other, history).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(faulty_calls_are_refused_by_the_name_of_their_field)
+BOOST_AUTO_TEST_CASE(errors_in_a_call_name_the_invalid_field)
 {
     const auto messageOf = [](std::string_view text) {
         const Result<CallRequest> parsed = parseCallRequest(text);
         return parsed ? std::string("accepted") : parsed.error().message;
     };
-    BOOST_TEST(messageOf("[1]") == "the body has to be a JSON object");
+    BOOST_TEST(messageOf("[1]") == "the body must be a JSON object");
     BOOST_TEST(messageOf("{\"kind\":\"model\"}") == "'sequence' is required");
-    BOOST_TEST(messageOf("{\"sequence\":1,\"kind\":\"dance\"}") == "'kind' has to be 'model' or 'service'");
+    BOOST_TEST(messageOf("{\"sequence\":1,\"kind\":\"dance\"}") == "'kind' must be 'model' or 'service'");
     BOOST_TEST(messageOf("{\"sequence\":1,\"kind\":\"model\",\"messages\":[]}")
-               == "'messages' needs 1 to 10000 messages");
+               == "'messages' must hold 1 to 10000 messages");
     BOOST_TEST(messageOf("{\"sequence\":1,\"kind\":\"model\",\"messages\":[{\"content\":1}]}")
-               == "'messages[0].role' has to be a string");
+               == "'messages[0].role' must be a string");
     BOOST_TEST(
         messageOf(
             "{\"sequence\":1,\"kind\":\"model\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}],\"colour\":1}")
         == "'colour' is not known");
     BOOST_TEST(
         messageOf("{\"sequence\":1,\"kind\":\"service\",\"service\":\"s\",\"method\":\"POST\",\"path\":\"no slash\"}")
-        == "'path' has to begin with '/' and hold no blanks or control characters");
+        == "'path' must begin with '/' and contain no whitespace or control characters");
     BOOST_TEST(parseJsonObject(std::string(40, '[')).has_error());
 }
 
