--- a/include/cardamompost/config/cp_configuration.hpp
+++ b/include/cardamompost/config/cp_configuration.hpp
@@ -9,40 +9,40 @@
 namespace cardamompost
 {
 
-//! A kind of work, with its place among the others.
+//! A class of work with its priority and deadline.
 struct WorkClass {
     std::string name;
-    //! 0 goes first; a class never waits for one with a higher number.
+    //! Priority; 0 is the highest. A class never waits for one with a higher number.
     int rank = 0;
     //! Longest time from a call's arrival to its final answer.
     Milliseconds deadline {0};
 };
 
-//! One backend server that runs a deployment's model.
+//! A backend server that runs the model of a deployment.
 struct Replica {
     std::string name;
     std::string deployment;
     Address address;
     std::string failureDomain;
-    //! The server refuses an order with an old fencing number.
+    //! The server rejects requests with an outdated fencing token.
     bool checksFencing = false;
-    //! Calls that the server works on at the same time.
+    //! Calls that the server executes concurrently.
     int slots = 1;
 };
 
-//! Backend servers that serve one model to some classes of work.
+//! A group of replicas that serve one model to some classes of work.
 struct Deployment {
     std::string name;
     std::string model;
     std::vector<std::string> classes;
-    //! Calls waiting at one owner before the lowest rank is shed.
+    //! Calls queued at one owner before those of the lowest priority are shed.
     int queueLimit = 0;
     std::string queuePolicy;
     std::string placementPolicy;
     std::vector<Replica> replicas;
 };
 
-//! A plain service beside the model engines.
+//! An HTTP service other than a model engine.
 struct Service {
     std::string name;
     std::vector<Address> addresses;
@@ -57,11 +57,11 @@
     std::vector<std::string> deployments;
     std::vector<std::string> classes;
     std::vector<std::string> services;
-    //! Calls a second over all entry VMs.
+    //! Calls per second over all entry VMs.
     double callsPerSecond = 0;
-    //! Calls at once on one VM.
+    //! Concurrent calls on one VM.
     int concurrentCalls = 0;
-    //! Most tokens that one program may spend.
+    //! Maximum number of tokens that one program may spend.
     std::int64_t programBudgetTokens = 0;
 };
 
@@ -71,17 +71,17 @@
     std::string keyHash;
 };
 
-//! The operators' document, checked and typed.
+//! The operators' configuration document, validated and typed.
 class Configuration
 {
 public:
-    //! All faults are reported at once; a document with a fault yields no configuration.
+    //! Reports all faults at once; a document with faults yields no configuration.
     struct ParseResult;
     [[nodiscard]] static ParseResult parse(std::string_view text);
 
     [[nodiscard]] const WorkClass *findClass(std::string_view name) const;
     [[nodiscard]] const Deployment *findDeployment(std::string_view name) const;
-    //! The first deployment of a model that a caller may use; null when there is none.
+    //! The first deployment of a model that a caller may use; null if there is none.
     [[nodiscard]] const Deployment *findModel(std::string_view model, const Caller &caller) const;
     [[nodiscard]] const Service *findService(std::string_view name) const;
     [[nodiscard]] const Caller *findCaller(std::string_view name) const;
@@ -119,7 +119,7 @@
     std::vector<ConfigFault> faults;
 };
 
-//! The keys that the document knows, section by section, for the reference page and its check.
+//! The valid keys by section, for the reference page and its check.
 [[nodiscard]] const std::map<std::string, std::vector<std::string>, std::less<>> &configurationKeys();
 
 } // namespace cardamompost
--- a/include/cardamompost/config/cp_ini_document.hpp
+++ b/include/cardamompost/config/cp_ini_document.hpp
@@ -10,19 +10,19 @@
 namespace cardamompost
 {
 
-//! One fault in a document, at the place where it has to be mended.
+//! A fault in a document, with its position.
 struct ConfigFault {
-    //! From 1; 0 when the fault belongs to no line.
+    //! Counted from 1; 0 if the fault belongs to no line.
     std::size_t line = 0;
     std::string section;
     std::string key;
     std::string message;
 
-    //! "line 3, [section], key: message", leaving out what is not known.
+    //! "line 3: [section] key: message", omitting empty parts.
     [[nodiscard]] std::string toString() const;
 };
 
-//! A key and its value, with the line that holds them.
+//! A key with its value and line number.
 struct IniEntry {
     std::string key;
     std::string value;
@@ -36,24 +36,24 @@
     std::string name;
     std::size_t line = 0;
     std::vector<IniEntry> entries;
-    //! The section as written, with the comments above it, for storing and showing it unchanged.
+    //! Text of the section with the comments above it, as stored and shown.
     std::string text;
 
     //! "kind name", as between the brackets.
     [[nodiscard]] std::string header() const;
 
-    //! The entry with a key; null when absent.
+    //! The entry with a key; null if absent.
     [[nodiscard]] const IniEntry *find(std::string_view key) const;
 };
 
-//! An INI text, split but not yet interpreted.
+//! An INI document parsed into sections and entries, whose values are not interpreted.
 //!
-//! Lines are "[kind name]", "key = value", comments after ';' or '#', or blank. Every fault is kept, so that
-//! one check reports them all.
+//! A line is "[kind name]", "key = value", a comment that begins with ';' or '#', or blank. Collects faults instead of
+//! stopping at the first one.
 class IniDocument
 {
 public:
-    //! Never fails: what could not be read is in faults().
+    //! Never fails: lines that are invalid are reported by faults().
     [[nodiscard]] static IniDocument parse(std::string_view text);
 
     [[nodiscard]] const std::vector<IniSection> &sections() const
--- a/include/cardamompost/config/cp_section_document.hpp
+++ b/include/cardamompost/config/cp_section_document.hpp
@@ -8,17 +8,17 @@
 namespace cardamompost
 {
 
-//! A section that a change adds or replaces.
+//! A section that a delta adds or replaces.
 struct SectionChange {
     std::string header;
-    //! Header of the section before a new one; empty for the first place.
+    //! Header of the preceding section, for inserting a new one; empty for the first position.
     std::string after;
     std::string text;
 
     friend bool operator==(const SectionChange &, const SectionChange &) = default;
 };
 
-//! What turns one document into another, section by section.
+//! The sections to change in one document to get another.
 struct DocumentDelta {
     std::vector<SectionChange> upserts;
     std::vector<std::string> removals;
@@ -29,7 +29,7 @@
     }
 };
 
-//! A document as a list of sections, so that a change to it costs as much as what changed.
+//! A document as a list of sections, so that the size of a delta follows the size of the change.
 //!
 //! Comments belong to the section below them. The order of sections that both documents have is kept.
 class SectionDocument
@@ -42,7 +42,7 @@
 
     [[nodiscard]] static SectionDocument fromText(std::string_view text);
     [[nodiscard]] std::string text() const;
-    //! What apply() needs to make the other document out of this one.
+    //! The delta that apply() needs to turn this document into the other.
     [[nodiscard]] DocumentDelta deltaTo(const SectionDocument &other) const;
     void apply(const DocumentDelta &delta);
 
@@ -58,7 +58,7 @@
     std::vector<Section> sections_;
 };
 
-//! The lines of two texts that differ, each after '-' or '+', for showing an operator.
+//! The changed sections of two documents, with '-' before each old line and '+' before each new one.
 [[nodiscard]] std::string lineDifference(std::string_view before, std::string_view after);
 
 } // namespace cardamompost
--- a/include/cardamompost/config/cp_section_reader.hpp
+++ b/include/cardamompost/config/cp_section_reader.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! A host given as an IP number, and a port.
+//! An IP address and a port.
 struct Address {
     std::string host;
     std::uint16_t port = 0;
@@ -18,21 +18,21 @@
     friend bool operator==(const Address &, const Address &) = default;
 };
 
-//! Reads "IP:port" or "[IPv6]:port"; nothing for names, because a process never asks for them.
+//! Parses "IP:port" or "[IPv6]:port". Host names are rejected, as no process resolves names.
 [[nodiscard]] std::optional<Address> parseAddress(std::string_view text);
 
-//! Splits a comma-separated list, without blanks and empty items.
+//! Splits a comma-separated list, trimming items and skipping empty ones.
 [[nodiscard]] std::vector<std::string> splitList(std::string_view text);
 
-//! Reads the typed values of one section and notes a fault for each that is missing, malformed or unknown.
+//! Reads typed values of a section and reports a fault for each key that is missing, malformed or unknown.
 class SectionReader
 {
 public:
     SectionReader(const IniSection &section, std::vector<ConfigFault> &faults);
 
-    //! The value, or the fallback when the key is absent.
+    //! The value, or the fallback if the key is absent.
     std::string text(std::string_view key, std::string_view fallback = {});
-    //! As text(), with a fault when the key is absent or empty.
+    //! As text(), but reports a fault if the key is absent or empty.
     std::string requiredText(std::string_view key);
     std::int64_t integer(std::string_view key, std::int64_t fallback, std::int64_t min, std::int64_t max);
     double number(std::string_view key, double fallback, double min, double max);
@@ -40,9 +40,9 @@
     Address address(std::string_view key);
     std::vector<std::string> list(std::string_view key);
 
-    //! Notes a fault at a key of this section.
+    //! Reports a fault at a key of this section.
     void fault(std::string_view key, std::string message);
-    //! Notes a fault for each key that was not asked for.
+    //! Reports a fault for each key of the section that was not read.
     void finish();
 
 private:
--- a/include/cardamompost/config/cp_settings.hpp
+++ b/include/cardamompost/config/cp_settings.hpp
@@ -9,42 +9,42 @@
 namespace cardamompost
 {
 
-//! A VM that holds the system's durable state, known to every process from the start.
+//! A VM that stores the system's durable state, as configured on every VM.
 struct KeeperPeer {
     VmName name;
     Address address;
     std::string failureDomain;
 };
 
-//! What a process learns about itself before it meets any other.
+//! Settings of one process.
 struct Settings {
     VmName vm;
     std::string failureDomain;
-    //! Where callers and operators connect.
+    //! Listening address for callers and operators.
     Address http;
-    //! Where the system's other processes connect.
+    //! Listening address for other processes of the system.
     Address peer;
     bool isKeeper = false;
     std::string dataFolder;
     std::string logFile;
     std::string logLevel;
     int workers = 0;
-    //! How long callers may go on using an answer of the directory, and a leaving VM goes on serving them.
+    //! Time for which callers may cache a directory answer, and for which a draining VM serves them.
     std::int64_t directoryTtlMs = 0;
-    //! PEM files for TLS between processes; all empty for none.
+    //! PEM files for TLS between processes; all empty without TLS.
     std::string tlsCertificate;
     std::string tlsKey;
     std::string tlsAuthority;
-    //! Fixed for the life of the system; the first configuration of the control log records it.
+    //! Number of partitions. Never changes: the first configuration in the control log records it.
     std::uint32_t partitions = 0;
-    //! SHA-256 of the operator key that works while the document names no operator.
+    //! SHA-256 of the operator key that is valid until the configuration has an operator.
     std::string bootstrapKeyHash;
     std::vector<KeeperPeer> keepers;
-    //! False leaves out the disk sync; only for telling its cost apart in a benchmark.
+    //! False skips syncing to disk, for benchmarks only.
     bool syncWrites = true;
 };
 
-//! Settings, or all faults of the text at once.
+//! Parsed settings with all faults; usable only without faults.
 struct SettingsResult {
     Settings settings;
     std::vector<ConfigFault> faults;
@@ -52,7 +52,7 @@
 
 [[nodiscard]] SettingsResult parseSettings(std::string_view text);
 
-//! The keys that settings know, section by section, for the reference page and its check.
+//! The valid keys by section, for the reference page and its check.
 [[nodiscard]] const std::map<std::string, std::vector<std::string>, std::less<>> &settingsKeys();
 
 } // namespace cardamompost
--- a/src/cardamompost/config/cp_configuration.cpp
+++ b/src/cardamompost/config/cp_configuration.cpp
@@ -57,7 +57,7 @@
     return keys;
 }
 
-//! Builds a Configuration from sections: first each by itself, then the references between them.
+//! Builds a Configuration: reads each section, then checks the references between them.
 class ConfigurationReader
 {
 public:
@@ -89,11 +89,11 @@
             faults_.push_back({section.line,
                                section.header(),
                                {},
-                               "the section needs a name of letters, digits, '-', '_', '.' and '/', 64 at most"});
+                               "the section needs a name of at most 64 letters, digits, '-', '_', '.' and '/'"});
             return;
         }
         if (!headers_.insert(section.header()).second) {
-            faults_.push_back({section.line, section.header(), {}, "the section is given twice"});
+            faults_.push_back({section.line, section.header(), {}, "duplicate section"});
             return;
         }
         SectionReader reader(section, faults_);
@@ -163,7 +163,7 @@
             if (const auto address = parseAddress(item)) {
                 service.addresses.push_back(*address);
             } else {
-                reader.fault("addresses", fmt::format("'{}' is not an IP number with a port", item));
+                reader.fault("addresses", fmt::format("'{}' is not an IP address with a port", item));
             }
         }
         if (service.addresses.empty()) {
@@ -192,7 +192,7 @@
     {
         std::string value = reader.text(key, fallback);
         if (std::find(known.begin(), known.end(), value) == known.end()) {
-            reader.fault(key, fmt::format("'{}' is none of: {}", value, fmt::join(known, ", ")));
+            reader.fault(key, fmt::format("'{}' is not one of: {}", value, fmt::join(known, ", ")));
         }
         return value;
     }
--- a/src/cardamompost/config/cp_ini_document.cpp
+++ b/src/cardamompost/config/cp_ini_document.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// A document above this is refused before it is split, so that a hostile one can't take the memory of a VM.
+// Limits the memory that a hostile document can take.
 constexpr std::size_t maxDocumentBytes = 16U << 20U;
 constexpr std::size_t maxFaults = 1000;
 
@@ -30,7 +30,7 @@
     return (byte & 0xC0U) == 0x80U;
 }
 
-// Length of the sequence that a lead byte opens, 0 for a byte that can't lead.
+// Length of the UTF-8 sequence that begins with a lead byte; 0 for an invalid lead byte.
 std::size_t sequenceLength(unsigned char lead)
 {
     if (lead < 0x80U) {
@@ -45,7 +45,7 @@
     return lead >= 0xF0U && lead <= 0xF4U ? 4 : 0;
 }
 
-// Refuses overlong forms, surrogates and code points above U+10FFFF, which the lead byte alone lets through.
+// Rejects overlong encodings, surrogates and code points above U+10FFFF, which the lead byte does not reveal.
 bool isValidSecondByte(unsigned char lead, unsigned char second)
 {
     switch (lead) {
@@ -71,22 +71,22 @@
 
 bool isCleanUtf8(std::string_view text)
 {
-    std::size_t at = 0;
-    while (at < text.size()) {
-        const auto lead = static_cast<unsigned char>(text[at]);
+    std::size_t offset = 0;
+    while (offset < text.size()) {
+        const auto lead = static_cast<unsigned char>(text[offset]);
         const std::size_t length = sequenceLength(lead);
-        if (length == 0 || at + length > text.size() || (length == 1 && !isAllowedAscii(lead))) {
+        if (length == 0 || offset + length > text.size() || (length == 1 && !isAllowedAscii(lead))) {
             return false;
         }
         for (std::size_t i = 1; i < length; ++i) {
-            if (!isContinuation(static_cast<unsigned char>(text[at + i]))) {
+            if (!isContinuation(static_cast<unsigned char>(text[offset + i]))) {
                 return false;
             }
         }
-        if (length > 1 && !isValidSecondByte(lead, static_cast<unsigned char>(text[at + 1]))) {
+        if (length > 1 && !isValidSecondByte(lead, static_cast<unsigned char>(text[offset + 1]))) {
             return false;
         }
-        at += length;
+        offset += length;
     }
     return true;
 }
@@ -122,7 +122,8 @@
 {
     IniDocument document;
     if (text.size() > maxDocumentBytes) {
-        document.addFault(0, {}, fmt::format("the document has {} bytes, more than {}", text.size(), maxDocumentBytes));
+        document.addFault(0, {},
+                          fmt::format("the document has {} bytes; the limit is {}", text.size(), maxDocumentBytes));
         return document;
     }
     std::size_t number = 0;
@@ -189,12 +190,12 @@
         return;
     }
     if (sections_.empty()) {
-        addFault(number, entry.key, "the key stands before any section");
+        addFault(number, entry.key, "the key is outside of any section");
         return;
     }
     IniSection &section = sections_.back();
     if (section.find(entry.key) != nullptr) {
-        addFault(number, entry.key, "the key is given twice");
+        addFault(number, entry.key, "duplicate key");
         return;
     }
     section.text += pendingComments_ + fmt::format("{} = {}\n", entry.key, entry.value);
--- a/src/cardamompost/config/cp_section_reader.cpp
+++ b/src/cardamompost/config/cp_section_reader.cpp
@@ -22,7 +22,7 @@
     return value;
 }
 
-bool isIpNumber(const std::string &host)
+bool isIpAddress(const std::string &host)
 {
     in_addr v4 {};
     in6_addr v6 {};
@@ -47,7 +47,7 @@
         host = host.substr(1, host.size() - 2);
     }
     const auto port = parseNumber<std::uint16_t>(text.substr(colon + 1));
-    if (!port || *port == 0 || !isIpNumber(std::string(host))) {
+    if (!port || *port == 0 || !isIpAddress(std::string(host))) {
         return std::nullopt;
     }
     return Address {std::string(host), *port};
@@ -140,7 +140,7 @@
     const std::string value = requiredText(key);
     const auto parsed = parseAddress(value);
     if (!value.empty() && !parsed) {
-        fault(key, fmt::format("'{}' is not an IP number with a port", value));
+        fault(key, fmt::format("'{}' is not an IP address with a port", value));
     }
     return parsed.value_or(Address {});
 }
@@ -161,7 +161,7 @@
 {
     for (const IniEntry &entry : section_.entries) {
         if (!known_.contains(entry.key)) {
-            fault(entry.key, "the key is not known in this section");
+            fault(entry.key, "unknown key in this section");
         }
     }
 }
--- a/src/cardamompost/config/cp_settings.cpp
+++ b/src/cardamompost/config/cp_settings.cpp
@@ -36,7 +36,7 @@
     settings.tlsAuthority = reader.text("tls_authority");
     if (settings.tlsCertificate.empty() != settings.tlsKey.empty()
         || settings.tlsKey.empty() != settings.tlsAuthority.empty()) {
-        reader.fault("tls_certificate", "'tls_certificate', 'tls_key' and 'tls_authority' belong together");
+        reader.fault("tls_certificate", "'tls_certificate', 'tls_key' and 'tls_authority' must be given together");
     }
     settings.syncWrites = reader.boolean("sync_writes", true);
     if (settings.isKeeper && settings.dataFolder.empty()) {
@@ -74,7 +74,7 @@
         result.faults.push_back({0, "keeper", {}, "at least one [keeper NAME] section is required"});
     }
     if (settings.isKeeper && !isListed && !settings.keepers.empty()) {
-        result.faults.push_back({0, "vm", "keeper", "this VM is a keeper, but no [keeper] section names it"});
+        result.faults.push_back({0, "vm", "keeper", "this VM is a keeper but has no [keeper] section"});
     }
 }
 
