--- a/include/cardamompost/core/cp_error.hpp
+++ b/include/cardamompost/core/cp_error.hpp
@@ -13,13 +13,13 @@
 namespace cardamompost
 {
 
-//! An error with what the caller needs to act on it.
+//! An error with its message, outcome and retry hint.
 struct Error {
     ErrorKind kind = ErrorKind::Internal;
     std::string message;
-    //! Set where the part that failed knows more than the table of kinds.
+    //! Set if more is known than the kind implies.
     std::optional<Outcome> outcome;
-    //! When a new try is worth its cost.
+    //! Recommended delay before a retry.
     std::optional<std::chrono::milliseconds> retryAfter;
 
     //! The recorded outcome, or the one that the kind implies.
@@ -33,7 +33,7 @@
 template<typename T>
 using Result = boost::outcome_v2::basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
-//! An Error ready to be returned from a function with a Result.
+//! An Error without outcome and retry hint.
 [[nodiscard]] inline Error makeError(ErrorKind kind, std::string message)
 {
     return Error {kind, std::move(message), std::nullopt, std::nullopt};
--- a/include/cardamompost/core/cp_error_kind.hpp
+++ b/include/cardamompost/core/cp_error_kind.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! The closed list of errors that any part may report. Callers see the name, never the number.
+//! All kinds of errors. Callers get the name, never the number.
 enum class ErrorKind {
     InvalidRequest,
     InvalidConfiguration,
@@ -39,20 +39,20 @@
     Internal,
 };
 
-//! What a caller is told for one kind of error.
+//! The answer to a caller for one kind of error.
 struct ErrorAnswer {
     ErrorKind kind;
     std::string_view name;
     //! HTTP status code.
     unsigned status;
-    //! What is known of the request when nothing more precise was recorded.
+    //! Outcome unless the error has a more precise one.
     Outcome outcome;
 };
 
-//! The row of the table for a kind; total, so it never fails.
+//! Defined for every kind.
 [[nodiscard]] const ErrorAnswer &answerFor(ErrorKind kind);
 
-//! The kind with this name, as read from another process; nothing for an unknown name.
+//! The kind with a name; empty for an unknown name.
 [[nodiscard]] std::optional<ErrorKind> errorKindFromName(std::string_view name);
 
 } // namespace cardamompost
--- a/include/cardamompost/core/cp_ids.hpp
+++ b/include/cardamompost/core/cp_ids.hpp
@@ -8,7 +8,7 @@
 namespace cardamompost
 {
 
-//! Name of a VM, unique in the system, from its settings.
+//! Name of a VM from its settings, unique in the system.
 using VmName = std::string;
 
 //! 32 lower-case hexadecimal digits.
@@ -17,25 +17,25 @@
 //! Number of a partition of programs, from 0.
 using PartitionId = std::uint32_t;
 
-//! Generation of a partition's ownership; each owner gets a higher one from the control log.
+//! Ownership generation of a partition; the control log assigns each owner a higher one.
 using Epoch = std::uint64_t;
 
-//! Position in a replicated log; the first entry has 1.
+//! Position in a replicated log, from 1.
 using LogIndex = std::uint64_t;
 
-//! Term of consensus, or the epoch of the writer for a journal.
+//! Consensus term, or the epoch of the writer of a journal.
 using Term = std::uint64_t;
 
 //! A random program id.
 [[nodiscard]] ProgramId makeProgramId();
 
-//! The program id that belongs to a caller's idempotency key, so that a resent creation finds the first one.
+//! The program id derived from a caller's idempotency key, so that a retried creation finds the existing program.
 [[nodiscard]] ProgramId programIdForKey(std::string_view caller, std::string_view idempotencyKey);
 
 //! True for 32 lower-case hexadecimal digits.
 [[nodiscard]] bool isProgramId(std::string_view text);
 
-//! The partition of a program, stable over versions because journals outlive processes.
+//! The partition of a program. Must not change between releases, as journals are stored by partition.
 [[nodiscard]] PartitionId partitionOf(std::string_view programId, std::uint32_t partitionCount);
 
 //! A 64-bit hash that is the same in every process and release.
@@ -44,7 +44,7 @@
 //! SHA-256 in lower-case hexadecimal, as bearer keys are stored.
 [[nodiscard]] std::string sha256Hex(std::string_view text);
 
-//! A random number for identities, not for secrets.
+//! A random number for identifiers; not suitable for secrets.
 [[nodiscard]] std::uint64_t randomIdentity();
 
 } // namespace cardamompost
--- a/include/cardamompost/core/cp_invariant.hpp
+++ b/include/cardamompost/core/cp_invariant.hpp
@@ -6,16 +6,16 @@
 namespace cardamompost
 {
 
-//! Called with the text of a broken invariant.
+//! Called with the text of a violated invariant.
 using InvariantHandler = void (*)(std::string_view text);
 
-//! Replaces the handler, which prints the text and aborts; tests install one that throws.
+//! Replaces the default handler, which prints the text and aborts; null restores it.
 void setInvariantHandler(InvariantHandler handler);
 
-//! Stops the process when something that must always hold does not.
+//! Calls the invariant handler if the condition does not hold.
 //!
-//! A process that goes on with broken state could give a caller a wrong answer or execute a request twice;
-//! one that dies is replaced within the takeover time.
+//! Aborting is safer than continuing with corrupt state, which could cause wrong answers or double execution; another
+//! process takes over.
 void checkInvariant(bool holds, std::string_view text);
 
 } // namespace cardamompost
--- a/include/cardamompost/core/cp_name_table.hpp
+++ b/include/cardamompost/core/cp_name_table.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! One row of a table that pairs an enumerator with its external name.
+//! An enumerator with its external name.
 template<typename Enum>
 struct Named {
     Enum value;
@@ -19,7 +19,7 @@
 template<typename Enum>
 Named(Enum, const char *) -> Named<Enum>;
 
-//! The name of an enumerator; empty when the table lacks it.
+//! The name of an enumerator; empty if the table lacks it.
 template<typename Enum, std::size_t Size>
 [[nodiscard]] constexpr std::string_view nameOf(const std::array<Named<Enum>, Size> &table, Enum value)
 {
@@ -31,7 +31,7 @@
     return {};
 }
 
-//! The enumerator with a name, compared exactly.
+//! The enumerator with a name, compared case-sensitively; empty if the table lacks it.
 template<typename Enum, std::size_t Size>
 [[nodiscard]] constexpr std::optional<Enum> valueOf(const std::array<Named<Enum>, Size> &table, std::string_view name)
 {
--- a/include/cardamompost/core/cp_outcome.hpp
+++ b/include/cardamompost/core/cp_outcome.hpp
@@ -8,13 +8,13 @@
 namespace cardamompost
 {
 
-//! What is known of a request's execution when its final answer is given.
+//! Whether a request was executed, as known at its final answer.
 enum class Outcome {
-    //! It was executed, and the answer is its own.
+    //! Executed; the answer is its result.
     Ran,
-    //! It was not executed and never will be under its idempotency key.
+    //! Not executed, and never will be under its idempotency key.
     NotRun,
-    //! It may have been executed; it will not be executed again.
+    //! May have been executed; will not be executed again.
     Unknown,
 };
 
--- a/include/cardamompost/core/cp_time.hpp
+++ b/include/cardamompost/core/cp_time.hpp
@@ -7,12 +7,12 @@
 namespace cardamompost
 {
 
-//! Time on one process's monotonic clock; never compared between processes.
+//! Time of the monotonic clock of one process; not comparable between processes.
 using TimePoint = std::chrono::steady_clock::time_point;
 
 using Milliseconds = std::chrono::milliseconds;
 
-//! A source of monotonic time. Parts take one, so that tests run them in virtual time.
+//! A source of monotonic time; a parameter of classes that tests run in virtual time.
 template<typename T>
 concept MonotonicClock = requires(const T &clock)
 {
@@ -21,7 +21,7 @@
         } -> std::same_as<TimePoint>;
 };
 
-//! The machine's monotonic clock.
+//! The monotonic clock of the system.
 struct SteadyClock {
     [[nodiscard]] TimePoint now() const
     {
@@ -29,7 +29,7 @@
     }
 };
 
-//! Whole milliseconds of a duration, rounded down.
+//! Whole milliseconds of a duration, truncated.
 template<typename Duration>
 [[nodiscard]] constexpr std::int64_t toMs(Duration duration)
 {
--- a/src/cardamompost/core/cp_invariant.cpp
+++ b/src/cardamompost/core/cp_invariant.cpp
@@ -12,7 +12,7 @@
 
 void printAndAbort(std::string_view text)
 {
-    std::fprintf(stderr, "invariant broken: %.*s\n", static_cast<int>(text.size()), text.data());
+    std::fprintf(stderr, "invariant violated: %.*s\n", static_cast<int>(text.size()), text.data());
     std::abort();
 }
 
--- a/tests/core/cp_core.tests.cpp
+++ b/tests/core/cp_core.tests.cpp
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(core)
 
-BOOST_AUTO_TEST_CASE(every_error_kind_has_its_own_name_and_can_be_read_back)
+BOOST_AUTO_TEST_CASE(every_error_kind_has_a_unique_name_that_can_be_parsed)
 {
     std::set<std::string_view> names;
     for (int i = 0; i <= static_cast<int>(ErrorKind::Internal); ++i) {
@@ -23,7 +23,7 @@
     BOOST_TEST(!errorKindFromName("no-such-kind").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_recorded_outcome_goes_before_the_one_of_the_kind)
+BOOST_AUTO_TEST_CASE(a_recorded_outcome_overrides_that_of_the_error_kind)
 {
     Error error = makeError(ErrorKind::BackendFailed, "x");
     BOOST_TEST((error.effectiveOutcome() == Outcome::Unknown));
@@ -31,7 +31,7 @@
     BOOST_TEST((error.effectiveOutcome() == Outcome::NotRun));
 }
 
-BOOST_AUTO_TEST_CASE(ids_of_a_key_are_stable_and_do_not_mix_callers)
+BOOST_AUTO_TEST_CASE(program_ids_of_keys_are_stable_and_distinct_per_caller)
 {
     BOOST_TEST(isProgramId(makeProgramId()));
     BOOST_TEST(programIdForKey("a", "key") == programIdForKey("a", "key"));
@@ -39,7 +39,7 @@
     BOOST_TEST(!isProgramId("ABC"));
 }
 
-BOOST_AUTO_TEST_CASE(partitions_of_programs_never_change_between_releases)
+BOOST_AUTO_TEST_CASE(partitions_of_programs_are_stable_between_releases)
 {
     BOOST_TEST(partitionOf("00000000000000000000000000000000", 1024)
                == stableHash("00000000000000000000000000000000") % 1024);
