--- a/include/cardamompost/edge/cp_iplatform_adapter.hpp
+++ b/include/cardamompost/edge/cp_iplatform_adapter.hpp
@@ -12,7 +12,7 @@
 namespace cardamompost
 {
 
-//! The header names of one way of speaking with callers and backend servers, in lower case.
+//! Names of the HTTP headers exchanged with callers and backend servers, in lower case.
 struct HeaderNames {
     std::string requestId;
     std::string program;
@@ -27,22 +27,22 @@
     std::string serverLoad;
     std::string lastEventId;
     std::string priority;
-    //! A caller's access key; never passed on.
+    //! A caller's access key; never forwarded.
     std::string accessKey;
-    //! Name of the client account, for backend servers.
+    //! Name of the client account, sent to backend servers.
     std::string account;
-    //! The same for requests that concern the same object.
+    //! Equal for requests that concern the same object.
     std::string affinity;
-    //! What only the system may set; a caller's own are dropped.
+    //! Headers that only the system may set; those of callers are removed.
     std::vector<std::string> reserved;
 };
 
-//! The paths that the system itself answers.
+//! Paths of the requests that the system answers itself.
 struct PathNames {
     std::string readiness;
     std::string directory;
     std::string document;
-    //! Followed by a VM's name.
+    //! Prefix, followed by the name of a VM.
     std::string retire;
 };
 
@@ -51,12 +51,12 @@
     std::vector<BackendServer> servers;
     //! Empty on the last page.
     std::string next;
-    //! Entries that name no server, and why the last of them does not.
+    //! Number of invalid entries that were skipped, and the reason for the last one.
     std::size_t skipped = 0;
     std::string reason;
 };
 
-//! Names and formats of the platform that the system runs on. It translates and decides nothing.
+//! Names and data formats of the platform that the system runs on; only translates, without any policy.
 class IPlatformAdapter
 {
 public:
@@ -65,11 +65,11 @@
     [[nodiscard]] virtual const HeaderNames &headers() const = 0;
     [[nodiscard]] virtual const PathNames &paths() const = 0;
 
-    //! Errors: InvalidConfiguration when it can't be read in full.
+    //! Errors: InvalidConfiguration if the document is not completely valid.
     [[nodiscard]] virtual Result<RouteDocument> readDocument(std::string_view bytes) const = 0;
-    //! \param page  as BackendPage::next gave it; empty for the first one
+    //! \param page  BackendPage::next of the previous page; empty for the first one
     [[nodiscard]] virtual std::string backendsTarget(const std::string &page) const = 0;
-    //! Errors: BackendFailed when it can't be read.
+    //! Errors: BackendFailed for a malformed page.
     [[nodiscard]] virtual Result<BackendPage> readBackends(std::string_view bytes) const = 0;
     [[nodiscard]] virtual std::string writeDirectory(const std::vector<std::string> &addresses,
                                                      Milliseconds lifetime) const = 0;
