--- a/tests/platform/cp_entry_replica.tests.cpp
+++ b/tests/platform/cp_entry_replica.tests.cpp
@@ -69,13 +69,13 @@
     Entry entry;
     const DocumentBuckets leader = bucketsOf(routeCount);
     DocumentBuckets received;
-    for (ContentDelta delta = leader.differing({}, maxReplyBytes); delta.rest > 0;
-         delta = leader.differing(received.digests(), maxReplyBytes)) {
+    for (ContentDelta delta = leader.deltaFrom({}, maxReplyBytes); delta.rest > 0;
+         delta = leader.deltaFrom(received.digests(), maxReplyBytes)) {
         BOOST_REQUIRE(received.take(delta.buckets).has_value());
         entry.apply(5, std::move(delta));
         BOOST_TEST(entry.version() == 0U);
     }
-    entry.apply(5, leader.differing(received.digests(), maxReplyBytes));
+    entry.apply(5, leader.deltaFrom(received.digests(), maxReplyBytes));
     BOOST_TEST(entry.version() == 5U);
     BOOST_TEST(entry.forwarder.table()->hasRoute("r-0"));
     BOOST_TEST(entry.forwarder.table()->hasRoute("r-499"));
@@ -86,14 +86,14 @@
 BOOST_AUTO_TEST_CASE(buckets_that_do_not_match_the_checksum_are_not_applied)
 {
     Entry entry;
-    entry.apply(5, bucketsOf(routeCount).differing({}));
+    entry.apply(5, bucketsOf(routeCount).deltaFrom({}));
     const DocumentBuckets next = bucketsOf(routeCount, Milliseconds(5000));
-    ContentDelta incomplete = next.differing(bucketsOf(routeCount).digests());
+    ContentDelta incomplete = next.deltaFrom(bucketsOf(routeCount).digests());
     BOOST_REQUIRE(incomplete.buckets.size() > 1U);
     incomplete.buckets.pop_back();
     entry.apply(6, incomplete);
     BOOST_TEST(entry.version() == 5U);
-    entry.apply(6, next.differing({}));
+    entry.apply(6, next.deltaFrom({}));
     BOOST_TEST(entry.version() == 6U);
 }
 
@@ -101,8 +101,8 @@
 BOOST_AUTO_TEST_CASE(an_older_document_does_not_replace_a_newer_one)
 {
     Entry entry;
-    entry.apply(6, bucketsOf(2).differing({}));
-    entry.apply(5, bucketsOf(1).differing({}));
+    entry.apply(6, bucketsOf(2).deltaFrom({}));
+    entry.apply(5, bucketsOf(1).deltaFrom({}));
     BOOST_TEST(entry.version() == 6U);
     BOOST_TEST(entry.forwarder.table()->hasRoute("r-1"));
 }
@@ -110,10 +110,10 @@
 BOOST_AUTO_TEST_CASE(a_malformed_bucket_leaves_the_current_document_in_place)
 {
     Entry entry;
-    entry.apply(5, bucketsOf(2).differing({}));
+    entry.apply(5, bucketsOf(2).deltaFrom({}));
     entry.apply(6, {{{0, "nonsense"}}, 0, 0});
     BOOST_TEST(entry.version() == 5U);
-    entry.apply(6, bucketsOf(3).differing({}));
+    entry.apply(6, bucketsOf(3).deltaFrom({}));
     BOOST_TEST(entry.version() == 6U);
 }
 
