--- a/include/cardamompost/journal/cp_journal_keeper.hpp
+++ b/include/cardamompost/journal/cp_journal_keeper.hpp
@@ -7,34 +7,34 @@
 namespace cardamompost
 {
 
-//! The copy of many journals on one VM with a disk.
+//! Stores one VM's replicas of the partitions' journals.
 //!
-//! A journal is a Raft log whose leader is named by the control log instead of by votes: an epoch is given to one
-//! owner only, sealing is the vote, and the keeper with the highest (term, index) among a quorum has all that was
-//! committed. The rules here are those of a Raft follower.
-//! A keeper that has lost its disk seals no journal until an owner has filled its copy up to what is committed:
-//! counted in a seal's quorum, an empty copy could hide a committed entry from the new owner. It has also lost its
-//! promises, so it takes nothing at all until it was told the epochs that the control log has given out since.
-//! Requests add what has to be stored to a batch; their replies count only after the batch was written.
-//! Thread-safety: none; the thread that owns the store runs it.
+//! A journal is a Raft log whose leader is assigned by the control log instead of elected: each epoch has one owner,
+//! sealing takes the place of the vote, and the keeper with the highest (term, index) in a quorum holds every
+//! committed entry. A keeper follows the rules of a Raft follower.
+//! A keeper that has lost its disk seals no journal until an owner has caught it up to the commit index: counted in a
+//! seal's quorum, an empty replica could hide a committed entry from the new owner. Its promises are lost as well, so
+//! no request may be handled until restorePromises() has set them from the control log.
+//! Requests add their writes to a batch; a reply may be sent only after the batch has been written.
+//! Not thread-safe; runs on the thread that owns the store.
 class JournalKeeper
 {
 public:
-    //! Records in an empty store that its disk replaces one which was lost.
+    //! Marks an empty store as the replacement of a lost disk.
     static void markUninitialized(LogBatch &batch);
-    //! Replaces the promises that were lost with the disk.
-    //! \param epochs  of each partition by its number, read from the control log after the loss
+    //! Restores the promises that were lost with the disk.
+    //! \param epochs  epoch of each partition, indexed by partition, read from the control log after the loss
     static void restorePromises(const std::vector<Epoch> &epochs, LogBatch &batch);
-    //! False on a replaced disk until its promises are restored; no request may be handled before.
+    //! False on a replaced disk until its promises are restored; no request may be handled until then.
     [[nodiscard]] bool isReady() const;
 
     explicit JournalKeeper(LogStore &store);
 
     SealReply seal(const SealRequest &request, LogBatch &batch);
     JournalAppendReply append(const JournalAppend &request, LogBatch &batch);
-    //! False when the owner was deposed; nothing was added to the batch then.
+    //! False if the owner is deposed; the batch is unchanged then.
     bool forget(const JournalForget &request, LogBatch &batch);
-    //! True while this copy lacks what a lost disk held.
+    //! True from the loss of the disk until this replica has caught up.
     [[nodiscard]] bool isUninitialized(PartitionId partition) const;
     //! Errors: StorageFailed, StorageCorrupt.
     Result<JournalReadReply> read(const JournalRead &request);
--- a/include/cardamompost/journal/cp_journal_message.hpp
+++ b/include/cardamompost/journal/cp_journal_message.hpp
@@ -8,7 +8,7 @@
 namespace cardamompost
 {
 
-//! Asks a keeper to accept nothing more from lower epochs.
+//! Asks a keeper to reject requests of lower epochs.
 struct SealRequest {
     PartitionId partition = 0;
     Epoch epoch = 0;
@@ -23,8 +23,8 @@
     Term lastTerm = 0;
 };
 
-//! Asks a keeper to store entries behind one that it has. Indexes that the entries leave out between them, or after
-//! the previous one, hold nothing: they were forgotten.
+//! Asks a keeper to append entries after the previous one, which must match. Indexes skipped between the previous
+//! entry and the last one were forgotten.
 struct JournalAppend {
     PartitionId partition = 0;
     Epoch epoch = 0;
@@ -32,18 +32,18 @@
     LogIndex previousIndex = 0;
     Term previousTerm = 0;
     std::vector<LogEntry> entries;
-    //! Up to here all that was ever committed is settled; 0 while the owner does not know.
+    //! The owner's commit index; 0 until its first commit in this epoch.
     LogIndex commit = 0;
 };
 
 struct JournalAppendReply {
     bool accepted = false;
     Epoch promised = 0;
-    //! Accepted: the last index that matches the owner's journal. Otherwise: where the owner should look for a match.
+    //! If accepted, the last index that matches the owner's journal; otherwise the index to try for a match next.
     LogIndex index = 0;
 };
 
-//! Asks for entries in order of index.
+//! Reads the entries of an index range, both ends included.
 struct JournalRead {
     PartitionId partition = 0;
     Epoch epoch = 0;
@@ -55,15 +55,15 @@
 struct JournalReadReply {
     bool accepted = false;
     Epoch promised = 0;
-    //! The last entry that the keeper holds below the first one asked for.
+    //! Position of the keeper's last entry below the range.
     LogIndex previousIndex = 0;
     Term previousTerm = 0;
     std::vector<LogEntry> entries;
-    //! No entry up to the end of the range is missing.
+    //! False if maxBytes cut the reply off before the end of the range.
     bool isComplete = false;
 };
 
-//! Tells a keeper that committed entries are not needed any more.
+//! Allows a keeper to discard committed entries.
 struct JournalForget {
     PartitionId partition = 0;
     Epoch epoch = 0;
--- a/include/cardamompost/journal/cp_journal_writer.hpp
+++ b/include/cardamompost/journal/cp_journal_writer.hpp
@@ -12,17 +12,16 @@
 namespace cardamompost
 {
 
-//! How far an owner has come with its journal.
 enum class JournalPhase {
     //! Waiting for a quorum of keepers to promise the epoch.
     Sealing,
-    //! Reading what earlier owners left.
-    Reading,
-    //! Waiting for the first entry of the own epoch to be committed.
-    Confirming,
+    //! Reading the entries of earlier epochs.
+    Recovering,
+    //! Waiting until the first entry of this epoch is committed.
+    CommittingBarrier,
     //! Entries may be appended.
     Open,
-    //! A higher epoch exists; nothing can be written any more.
+    //! A keeper has promised a higher epoch; final.
     Deposed,
 };
 
@@ -32,13 +31,13 @@
     VmName self;
     std::vector<VmName> keepers;
     std::size_t maxAppendBytes = 1U << 20U;
-    //! Entries kept for keepers that lag; what is older is read back from another keeper.
+    //! Above this size, committed entries are dropped even if keepers lag; they are read back from another keeper.
     std::size_t windowBytes = 4U << 20U;
     Milliseconds requestTimeout {1000};
     Milliseconds retryInterval {50};
 };
 
-//! A request that the driver sends to a keeper and whose reply, or failure, it hands back.
+//! A request to send to a keeper. The caller passes its outcome to onReply() or onFailure().
 struct JournalRequest {
     VmName keeper;
     std::uint64_t id = 0;
@@ -47,32 +46,31 @@
 
 using JournalReplyBody = std::variant<SealReply, JournalAppendReply, JournalReadReply>;
 
-//! The only writer of one partition's journal during one epoch: a state machine without sockets or clock.
+//! The only writer of one partition's journal during one epoch: a state machine without I/O or clock.
 //!
-//! Sealing a quorum stops every earlier owner: it can't get a quorum for an append any more, whatever it believes
-//! about its lease. The best sealed copy then holds all that was ever committed (the leader-completeness argument
-//! of Raft), and is read before anything is appended.
-//! Each keeper has one request under way, so entries that arrive meanwhile go together in the next: group commit.
-//! Thread-safety: none; the partition's lock guards it.
+//! Sealing a quorum fences every earlier owner: none of them can get a quorum for an append, even while it still
+//! believes in its lease. The sealed replica with the highest (term, index) holds all committed entries (the leader
+//! completeness property of Raft) and is read before anything is appended.
+//! Each keeper has at most one request in flight; entries appended meanwhile share the next one (group commit).
+//! Not thread-safe; guarded by the partition's lock.
 class JournalWriter
 {
 public:
     explicit JournalWriter(JournalWriterOptions options);
 
     void tick(TimePoint now);
-    //! Stores an entry behind the others. Only in phase Open. \returns its index
+    //! Appends an entry; only in phase Open. \returns its index
     LogIndex append(std::string payload);
 
-    //! Requests that are due now.
     [[nodiscard]] std::vector<JournalRequest> takeRequests(TimePoint now);
     void onReply(TimePoint now, const VmName &keeper, std::uint64_t id, const JournalReplyBody &reply);
-    //! The keeper can't be reached, or did not answer in time.
+    //! The keeper is unreachable, or the request has timed out.
     void onFailure(TimePoint now, const VmName &keeper, std::uint64_t id);
 
-    //! True when nothing is under way and no keeper lags, so that tick() has nothing to do until the next append.
-    [[nodiscard]] bool isQuiet() const;
-    //! A keeper's process was started anew, perhaps without its disk: finds out what it holds.
-    void recheck(const VmName &keeper);
+    //! True if the journal is open, no request is in flight and no keeper lags: tick() may pause until the next append.
+    [[nodiscard]] bool isIdle() const;
+    //! Determines the match index of a keeper again; for a keeper that restarted and may have lost its disk.
+    void invalidateMatch(const VmName &keeper);
 
     [[nodiscard]] JournalPhase phase() const
     {
@@ -80,7 +78,7 @@
     }
     [[nodiscard]] LogIndex commitIndex() const
     {
-        return commit_;
+        return commitIndex_;
     }
     [[nodiscard]] LogIndex lastIndex() const
     {
@@ -90,32 +88,32 @@
     {
         return options_.epoch;
     }
-    //! Entries read from the keepers, in order. A changed generation means that reading began again at the first.
+    //! Entries of earlier epochs, in order. A new generation restarts at the first entry and replaces earlier ones.
     struct Recovered {
         std::uint64_t generation = 0;
         std::vector<LogEntry> entries;
     };
     [[nodiscard]] Recovered takeRecovered();
-    //! Keepers whose copy is whole up to the commit index.
+    //! Number of keepers that match up to the commit index.
     [[nodiscard]] std::size_t upToDateKeepers() const;
-    //! Highest index that a keeper is known to hold of this journal.
+    //! Match index of a keeper; 0 if unknown.
     [[nodiscard]] LogIndex matchOf(const VmName &keeper) const;
 
 private:
     struct Keeper {
         std::optional<SealReply> sealed;
-        bool isKnown = false;
-        LogIndex match = 0;
-        LogIndex next = 0;
+        bool isMatchKnown = false;
+        LogIndex matchIndex = 0;
+        LogIndex nextIndex = 0;
         std::uint64_t pendingId = 0;
         TimePoint sentAt {};
         TimePoint retryAt {};
         int failures = 0;
-        //! Set while this keeper is read to bring another one up to date.
-        VmName readFor;
-        //! The last index that was asked for.
+        //! The lagging keeper that the pending read is for; empty for a read of the recovery.
+        VmName readForKeeper;
+        //! Last index of that read.
         LogIndex readTo = 0;
-        bool isReading = false;
+        bool isReadPending = false;
     };
     struct Position {
         LogIndex index = 0;
@@ -123,25 +121,25 @@
     };
 
     void send(const VmName &name, Keeper &keeper, std::variant<SealRequest, JournalAppend, JournalRead> body);
-    void pump(TimePoint now);
-    void pumpSealing(TimePoint now);
-    void pumpReading(TimePoint now);
-    void pumpAppending(const VmName &name, Keeper &keeper, TimePoint now);
+    void prepareRequests(TimePoint now);
+    void prepareSeals(TimePoint now);
+    void prepareRecoveryRead(TimePoint now);
+    void prepareAppend(const VmName &name, Keeper &keeper, TimePoint now);
     void appendFromWindow(const VmName &name, Keeper &keeper);
-    void startCopy(const VmName &laggard, TimePoint now);
+    void startCatchUp(const VmName &lagging, TimePoint now);
     void onSeal(Keeper &keeper, const SealReply &reply);
     void onAppend(Keeper &keeper, const JournalAppendReply &reply);
     void onRead(const VmName &name, Keeper &keeper, const JournalReadReply &reply);
-    void onCopyRead(const VmName &laggingKeeperName, LogIndex readTo, const JournalReadReply &reply);
-    void onSourceLost(const VmName &name, Keeper &keeper);
-    void startReading();
-    void finishReading();
-    void push(EntryKind kind, std::string payload);
+    void onCatchUpRead(const VmName &laggingName, LogIndex readTo, const JournalReadReply &reply);
+    void onReadSourceLost(const VmName &name, Keeper &keeper);
+    void startRecovery();
+    void finishRecovery();
+    void appendEntry(EntryKind kind, std::string payload);
     void advanceCommit();
     void trimWindow();
     void depose(Epoch promised);
     [[nodiscard]] std::size_t quorum() const;
-    [[nodiscard]] bool isFree(const Keeper &keeper, TimePoint now) const;
+    [[nodiscard]] bool canSend(const Keeper &keeper, TimePoint now) const;
     void addFromWindow(JournalAppend &request, LogIndex from) const;
 
     JournalWriterOptions options_;
@@ -150,14 +148,14 @@
     std::vector<JournalRequest> outbox_;
     std::uint64_t nextId_ = 1;
     TimePoint now_ {};
-    //! Entries of this epoch, and the position right before the first of them.
+    //! Entries of this epoch that are still in memory, and the position before the first of them.
     std::deque<LogEntry> window_;
     Position beforeWindow_;
-    std::size_t windowSize_ = 0;
+    std::size_t windowBytes_ = 0;
     LogIndex lastIndex_ = 0;
-    LogIndex commit_ = 0;
-    LogIndex barrier_ = 0;
-    VmName source_;
+    LogIndex commitIndex_ = 0;
+    LogIndex barrierIndex_ = 0;
+    VmName readSource_;
     Position sourceEnd_;
     LogIndex readFrom_ = 1;
     Recovered recovered_;
--- a/src/cardamompost/journal/cp_journal_keeper.cpp
+++ b/src/cardamompost/journal/cp_journal_keeper.cpp
@@ -9,28 +9,28 @@
 namespace
 {
 
-// Room that an entry takes in a reply besides its payload.
+// Size of an entry in a reply in addition to its payload.
 constexpr std::size_t entryOverheadBytes = 64;
 
-// Holds one hard state, which says that this disk replaces a lost one, and by its term how far it has come since.
-constexpr GroupId markerGroup = 0xFFFFFFFFU;
+// Pseudo-group that marks a replaced disk; the term of its hard state is one of the two below.
+constexpr GroupId diskLossGroup = 0xFFFFFFFFU;
 constexpr Term promisesLost = 1;
 constexpr Term promisesRestored = 2;
 
-// Indexes that a request leaves out, but the keeper still holds. They were forgotten at the sender, or are
-// leftovers of an owner that never got a quorum for them; neither may be read again.
-std::vector<LogIndex> findVoided(const StoredGroup &group, const JournalAppend &request)
+// Indexes that the keeper holds but a request skips: forgotten by the sender, or never committed by an earlier owner.
+// Neither may be read again.
+std::vector<LogIndex> findOmitted(const StoredGroup &group, const JournalAppend &request)
 {
-    std::vector<LogIndex> voided;
+    std::vector<LogIndex> omitted;
     LogIndex before = request.previousIndex;
     for (const LogEntry &entry : request.entries) {
         auto held = std::ranges::upper_bound(group.entries, before, {}, &StoredEntry::index);
         for (; held != group.entries.end() && held->index < entry.index; ++held) {
-            voided.push_back(held->index);
+            omitted.push_back(held->index);
         }
         before = entry.index;
     }
-    return voided;
+    return omitted;
 }
 
 } // namespace
@@ -47,22 +47,22 @@
 
 void JournalKeeper::markUninitialized(LogBatch &batch)
 {
-    batch.putHardState(markerGroup, {promisesLost, std::string(unknownVotedFor)});
+    batch.putHardState(diskLossGroup, {promisesLost, std::string(unknownVotedFor)});
 }
 
 void JournalKeeper::restorePromises(const std::vector<Epoch> &epochs, LogBatch &batch)
 {
-    // Guards against an owner that was deposed before the loss: the promise that kept it out is gone, and it could
-    // get entries confirmed beside the present owner. Whatever was promised, the control log had given out before.
+    // Keeps owners fenced that were deposed before the loss. Every promised epoch was assigned by the control log, so
+    // its current epochs are at least as high as the lost promises.
     for (PartitionId partition = 0; partition < epochs.size(); ++partition) {
         batch.putHardState(journalGroup(partition), {epochs[partition], std::string(unknownVotedFor)});
     }
-    batch.putHardState(markerGroup, {promisesRestored, std::string(unknownVotedFor)});
+    batch.putHardState(diskLossGroup, {promisesRestored, std::string(unknownVotedFor)});
 }
 
 bool JournalKeeper::isReady() const
 {
-    return store_.group(markerGroup).hard.term != promisesLost;
+    return store_.group(diskLossGroup).hard.term != promisesLost;
 }
 
 bool JournalKeeper::isUninitialized(PartitionId partition) const
@@ -76,10 +76,11 @@
     if (epoch < hard.term) {
         return false;
     }
-    const bool isOwnUninitialized = isUninitialized(partition);
-    checkInvariant(epoch > hard.term || owner == hard.votedFor || isOwnUninitialized, "an epoch belongs to one owner");
+    const bool isReplicaUninitialized = isUninitialized(partition);
+    checkInvariant(epoch > hard.term || owner == hard.votedFor || isReplicaUninitialized, "an epoch has one owner");
     if (epoch > hard.term) {
-        batch.putHardState(journalGroup(partition), {epoch, isOwnUninitialized ? std::string(unknownVotedFor) : owner});
+        batch.putHardState(journalGroup(partition),
+                           {epoch, isReplicaUninitialized ? std::string(unknownVotedFor) : owner});
     }
     return true;
 }
@@ -118,18 +119,19 @@
     reply.accepted = true;
     reply.index = request.entries.empty() ? request.previousIndex : request.entries.back().index;
     const GroupId id = journalGroup(request.partition);
-    batch.forget(id, findVoided(group, request));
+    batch.forget(id, findOmitted(group, request));
     bool isReplacing = false;
     for (const LogEntry &entry : request.entries) {
         const StoredEntry *held = group.find(entry.index);
         if (!isReplacing && held != nullptr && held->term == entry.term) {
             continue;
         }
-        // A hole here was committed and forgotten; stored again, the entry would void the committed ones behind it.
+        // The entry was committed and forgotten here; storing it would truncate the committed entries after it.
         if (!isReplacing && held == nullptr && entry.index < group.lastIndex()) {
             continue;
         }
-        checkInvariant(held == nullptr || held->term < request.epoch, "an owner never replaces its own entry");
+        checkInvariant(held == nullptr || held->term < request.epoch,
+                       "an owner must not replace an entry of its own epoch");
         isReplacing = true;
         batch.putEntry(id, entry);
     }
@@ -145,7 +147,7 @@
         return false;
     }
     const StoredGroup &group = groupOf(request.partition);
-    // The last entry stays, whatever it holds: its index and term tell a new owner how far this copy goes.
+    // The last entry is kept: a seal reports its index and term as the end of this replica.
     std::vector<LogIndex> held;
     for (const LogIndex index : request.indexes) {
         if (index < group.lastIndex() && group.find(index) != nullptr) {
@@ -161,9 +163,8 @@
     const StoredGroup &group = groupOf(request.partition);
     JournalReadReply reply;
     reply.promised = group.hard.term;
-    // A reader of a lower epoch could take entries for committed that a newer owner has replaced since.
-    // A copy that is being filled up anew must not be a source: what it lacks would look forgotten to the reader,
-    // and be dropped from copies that are whole.
+    // A reader of a lower epoch could miss that a newer owner has replaced entries. On an uninitialized replica,
+    // missing entries would look forgotten, and the reader would drop them from complete replicas.
     if (request.epoch < group.hard.term || isUninitialized(request.partition)) {
         return reply;
     }
--- a/src/cardamompost/journal/cp_journal_writer.cpp
+++ b/src/cardamompost/journal/cp_journal_writer.cpp
@@ -18,7 +18,7 @@
 JournalWriter::JournalWriter(JournalWriterOptions options)
     : options_(std::move(options))
 {
-    checkInvariant(!options_.keepers.empty(), "a journal has keepers");
+    checkInvariant(!options_.keepers.empty(), "a journal needs at least one keeper");
     for (const VmName &name : options_.keepers) {
         keepers_.try_emplace(name);
     }
@@ -29,7 +29,7 @@
     return keepers_.size() / 2 + 1;
 }
 
-bool JournalWriter::isFree(const Keeper &keeper, TimePoint now) const
+bool JournalWriter::canSend(const Keeper &keeper, TimePoint now) const
 {
     return keeper.pendingId == 0 && now >= keeper.retryAt;
 }
@@ -42,28 +42,27 @@
             onFailure(now, name, keeper.pendingId);
         }
     }
-    pump(now);
+    prepareRequests(now);
 }
 
 LogIndex JournalWriter::append(std::string payload)
 {
-    checkInvariant(phase_ == JournalPhase::Open, "a journal is appended to only while it is open");
-    push(EntryKind::Command, std::move(payload));
+    checkInvariant(phase_ == JournalPhase::Open, "append requires an open journal");
+    appendEntry(EntryKind::Command, std::move(payload));
     return lastIndex_;
 }
 
-void JournalWriter::push(EntryKind kind, std::string payload)
+void JournalWriter::appendEntry(EntryKind kind, std::string payload)
 {
-    windowSize_ += payload.size() + entryOverheadBytes;
+    windowBytes_ += payload.size() + entryOverheadBytes;
     window_.push_back({++lastIndex_, options_.epoch, kind, std::move(payload)});
 }
 
 std::vector<JournalRequest> JournalWriter::takeRequests(TimePoint now)
 {
-    // Guards against an append that waits for the next tick: a writer that has been quiet knows only an old time, by
-    // which a keeper may still seem to rest after a failure.
+    // An idle writer is not ticked: with an outdated time, a keeper would seem to be in its retry backoff.
     now_ = now;
-    pump(now);
+    prepareRequests(now);
     return std::exchange(outbox_, {});
 }
 
@@ -76,14 +75,15 @@
 
 std::size_t JournalWriter::upToDateKeepers() const
 {
-    const auto isSynced = [this](const auto &item) { return item.second.isKnown && item.second.match >= commit_; };
-    return static_cast<std::size_t>(std::count_if(keepers_.begin(), keepers_.end(), isSynced));
+    const auto isUpToDate
+        = [this](const auto &item) { return item.second.isMatchKnown && item.second.matchIndex >= commitIndex_; };
+    return static_cast<std::size_t>(std::count_if(keepers_.begin(), keepers_.end(), isUpToDate));
 }
 
 LogIndex JournalWriter::matchOf(const VmName &keeper) const
 {
     const auto found = keepers_.find(keeper);
-    return found == keepers_.end() ? 0 : found->second.match;
+    return found == keepers_.end() ? 0 : found->second.matchIndex;
 }
 
 void JournalWriter::send(const VmName &name, Keeper &keeper, std::variant<SealRequest, JournalAppend, JournalRead> body)
@@ -93,21 +93,21 @@
     outbox_.push_back({name, keeper.pendingId, std::move(body)});
 }
 
-void JournalWriter::pump(TimePoint now)
+void JournalWriter::prepareRequests(TimePoint now)
 {
     switch (phase_) {
     case JournalPhase::Sealing:
-        pumpSealing(now);
+        prepareSeals(now);
         break;
-    case JournalPhase::Reading:
-        pumpSealing(now);
-        pumpReading(now);
+    case JournalPhase::Recovering:
+        prepareSeals(now);
+        prepareRecoveryRead(now);
         break;
-    case JournalPhase::Confirming:
+    case JournalPhase::CommittingBarrier:
     case JournalPhase::Open:
         for (auto &[name, keeper] : keepers_) {
-            if (isFree(keeper, now)) {
-                pumpAppending(name, keeper, now);
+            if (canSend(keeper, now)) {
+                prepareAppend(name, keeper, now);
             }
         }
         break;
@@ -116,56 +116,57 @@
     }
 }
 
-void JournalWriter::pumpSealing(TimePoint now)
+void JournalWriter::prepareSeals(TimePoint now)
 {
     for (auto &[name, keeper] : keepers_) {
-        if (!keeper.sealed && isFree(keeper, now)) {
+        if (!keeper.sealed && canSend(keeper, now)) {
             send(name, keeper, SealRequest {options_.partition, options_.epoch, options_.self});
         }
     }
 }
 
-void JournalWriter::pumpReading(TimePoint now)
+void JournalWriter::prepareRecoveryRead(TimePoint now)
 {
-    Keeper &source = keepers_.at(source_);
-    if (isFree(source, now)) {
-        source.isReading = true;
+    Keeper &source = keepers_.at(readSource_);
+    if (canSend(source, now)) {
+        source.isReadPending = true;
         const auto maxBytes = static_cast<std::uint32_t>(options_.maxAppendBytes);
-        send(source_, source, JournalRead {options_.partition, options_.epoch, readFrom_, sourceEnd_.index, maxBytes});
+        send(readSource_, source,
+             JournalRead {options_.partition, options_.epoch, readFrom_, sourceEnd_.index, maxBytes});
     }
 }
 
-void JournalWriter::pumpAppending(const VmName &name, Keeper &keeper, TimePoint now)
+void JournalWriter::prepareAppend(const VmName &name, Keeper &keeper, TimePoint now)
 {
-    if (!keeper.isKnown) {
-        // An empty append behind the best copy's end finds out how far this keeper agrees.
-        keeper.next = keeper.next == 0 ? beforeWindow_.index + 1 : keeper.next;
+    if (!keeper.isMatchKnown) {
+        // The first append, possibly empty, starts at the window and determines the keeper's match index.
+        keeper.nextIndex = keeper.nextIndex == 0 ? beforeWindow_.index + 1 : keeper.nextIndex;
     }
-    if (keeper.next > beforeWindow_.index) {
-        if (!keeper.isKnown || keeper.next <= lastIndex_) {
+    if (keeper.nextIndex > beforeWindow_.index) {
+        if (!keeper.isMatchKnown || keeper.nextIndex <= lastIndex_) {
             appendFromWindow(name, keeper);
         }
         return;
     }
-    startCopy(name, now);
+    startCatchUp(name, now);
 }
 
 void JournalWriter::appendFromWindow(const VmName &name, Keeper &keeper)
 {
     JournalAppend request {
-        options_.partition, options_.epoch, options_.self, beforeWindow_.index, beforeWindow_.term, {}, commit_};
-    if (keeper.next > beforeWindow_.index + 1) {
-        request.previousIndex = keeper.next - 1;
+        options_.partition, options_.epoch, options_.self, beforeWindow_.index, beforeWindow_.term, {}, commitIndex_};
+    if (keeper.nextIndex > beforeWindow_.index + 1) {
+        request.previousIndex = keeper.nextIndex - 1;
         request.previousTerm = options_.epoch;
     }
-    addFromWindow(request, keeper.next);
+    addFromWindow(request, keeper.nextIndex);
     send(name, keeper, std::move(request));
 }
 
 void JournalWriter::addFromWindow(JournalAppend &request, LogIndex from) const
 {
     std::size_t bytes = 0;
-    // The window has no holes, so an entry's place follows from its index.
+    // Indexes in the window are contiguous.
     for (std::size_t at = from - beforeWindow_.index - 1; at < window_.size(); ++at) {
         bytes += window_[at].payload.size() + entryOverheadBytes;
         if (bytes > options_.maxAppendBytes && !request.entries.empty()) {
@@ -175,22 +176,22 @@
     }
 }
 
-void JournalWriter::startCopy(const VmName &laggard, TimePoint now)
+void JournalWriter::startCatchUp(const VmName &lagging, TimePoint now)
 {
-    Keeper &behind = keepers_.at(laggard);
+    Keeper &target = keepers_.at(lagging);
     for (auto &[name, keeper] : keepers_) {
-        const bool holdsAll = keeper.isKnown && keeper.match >= beforeWindow_.index;
-        if (name == laggard || !holdsAll || !isFree(keeper, now)) {
+        const bool holdsAll = keeper.isMatchKnown && keeper.matchIndex >= beforeWindow_.index;
+        if (name == lagging || !holdsAll || !canSend(keeper, now)) {
             continue;
         }
-        keeper.isReading = true;
-        keeper.readFor = laggard;
+        keeper.isReadPending = true;
+        keeper.readForKeeper = lagging;
         keeper.readTo = beforeWindow_.index;
         const auto maxBytes = static_cast<std::uint32_t>(options_.maxAppendBytes);
         send(name, keeper,
-             JournalRead {options_.partition, options_.epoch, behind.next, beforeWindow_.index, maxBytes});
-        // The laggard waits for what is read for it.
-        behind.retryAt = now + options_.requestTimeout;
+             JournalRead {options_.partition, options_.epoch, target.nextIndex, beforeWindow_.index, maxBytes});
+        // Nothing is sent to the lagging keeper until the read has ended or timed out.
+        target.retryAt = now + options_.requestTimeout;
         return;
     }
 }
@@ -199,8 +200,7 @@
 {
     now_ = now;
     const auto found = keepers_.find(name);
-    // Guards against a crossed answer: a reply that comes after its request was given up on must not be taken
-    // for the reply to the next one.
+    // A reply that arrives after its request has timed out must not be taken for the reply to the next request.
     if (found == keepers_.end() || found->second.pendingId != id || phase_ == JournalPhase::Deposed) {
         return;
     }
@@ -214,7 +214,7 @@
     } else {
         onRead(name, keeper, std::get<JournalReadReply>(reply));
     }
-    pump(now);
+    prepareRequests(now);
 }
 
 void JournalWriter::onFailure(TimePoint now, const VmName &name, std::uint64_t id)
@@ -228,48 +228,48 @@
     keeper.pendingId = 0;
     keeper.retryAt = now + std::min(options_.retryInterval * (1 << keeper.failures), options_.requestTimeout);
     keeper.failures = std::min(keeper.failures + 1, maxBackoffDoublings);
-    if (!keeper.isReading) {
+    if (!keeper.isReadPending) {
         return;
     }
-    keeper.isReading = false;
-    keeper.readFor.clear();
-    onSourceLost(name, keeper);
+    keeper.isReadPending = false;
+    keeper.readForKeeper.clear();
+    onReadSourceLost(name, keeper);
 }
 
-void JournalWriter::onSourceLost(const VmName &name, Keeper &keeper)
+void JournalWriter::onReadSourceLost(const VmName &name, Keeper &keeper)
 {
-    if (phase_ == JournalPhase::Reading && name == source_) {
-        // Seal again, and read from whichever copy is best among those that answer.
+    if (phase_ == JournalPhase::Recovering && name == readSource_) {
+        // Seals again and restarts the read at the best replica among those that reply.
         keeper.sealed.reset();
         keeper.retryAt = now_ + options_.retryInterval;
         phase_ = JournalPhase::Sealing;
-        startReading();
+        startRecovery();
     }
 }
 
-bool JournalWriter::isQuiet() const
+bool JournalWriter::isIdle() const
 {
-    const auto isLevel = [this](const auto &item) {
+    const auto isCaughtUp = [this](const auto &item) {
         const Keeper &keeper = item.second;
-        return keeper.pendingId == 0 && keeper.isKnown && keeper.next > lastIndex_;
+        return keeper.pendingId == 0 && keeper.isMatchKnown && keeper.nextIndex > lastIndex_;
     };
-    return phase_ == JournalPhase::Open && std::all_of(keepers_.begin(), keepers_.end(), isLevel);
+    return phase_ == JournalPhase::Open && std::all_of(keepers_.begin(), keepers_.end(), isCaughtUp);
 }
 
-void JournalWriter::recheck(const VmName &name)
+void JournalWriter::invalidateMatch(const VmName &name)
 {
     const auto found = keepers_.find(name);
     if (found != keepers_.end()) {
-        // Guards against a second loss: without writes to the partition nobody would notice that one copy is gone.
-        found->second.isKnown = false;
-        found->second.next = 0;
+        // Without appends, a lost replica would otherwise go undetected until a second one is lost.
+        found->second.isMatchKnown = false;
+        found->second.nextIndex = 0;
         found->second.retryAt = {};
     }
 }
 
 void JournalWriter::depose(Epoch promised)
 {
-    checkInvariant(promised > options_.epoch, "only a higher epoch deposes an owner");
+    checkInvariant(promised > options_.epoch, "an owner is deposed only by a higher epoch");
     phase_ = JournalPhase::Deposed;
     outbox_.clear();
 }
@@ -277,7 +277,7 @@
 void JournalWriter::onSeal(Keeper &keeper, const SealReply &reply)
 {
     if (!reply.accepted && reply.promised <= options_.epoch) {
-        // The keeper has lost its disk and can't tell what it once held; the others have to do.
+        // The keeper has lost its disk and can't count in the quorum.
         keeper.retryAt = now_ + options_.requestTimeout;
         return;
     }
@@ -287,11 +287,11 @@
     }
     keeper.sealed = reply;
     if (phase_ == JournalPhase::Sealing) {
-        startReading();
+        startRecovery();
     }
 }
 
-void JournalWriter::startReading()
+void JournalWriter::startRecovery()
 {
     std::size_t sealed = 0;
     Position best;
@@ -302,41 +302,41 @@
         const Position end {keeper.sealed->lastIndex, keeper.sealed->lastTerm};
         if (sealed == 0 || std::pair(end.term, end.index) > std::pair(best.term, best.index)) {
             best = end;
-            source_ = name;
+            readSource_ = name;
         }
         ++sealed;
     }
     if (sealed < quorum()) {
         return;
     }
-    phase_ = JournalPhase::Reading;
+    phase_ = JournalPhase::Recovering;
     sourceEnd_ = best;
     readFrom_ = 1;
     recovered_ = {recovered_.generation + 1, {}};
     if (best.index == 0) {
-        finishReading();
+        finishRecovery();
     }
 }
 
 void JournalWriter::onRead(const VmName &name, Keeper &keeper, const JournalReadReply &reply)
 {
-    keeper.isReading = false;
-    const VmName readFor = std::exchange(keeper.readFor, {});
+    keeper.isReadPending = false;
+    const VmName readForKeeper = std::exchange(keeper.readForKeeper, {});
     if (!reply.accepted && reply.promised > options_.epoch) {
         depose(reply.promised);
         return;
     }
     if (!reply.accepted) {
-        // The source has lost its disk since it was chosen.
-        keeper.isKnown = false;
-        onSourceLost(name, keeper);
+        // The source has lost its disk since it was selected.
+        keeper.isMatchKnown = false;
+        onReadSourceLost(name, keeper);
         return;
     }
-    if (!readFor.empty()) {
-        onCopyRead(readFor, keeper.readTo, reply);
+    if (!readForKeeper.empty()) {
+        onCatchUpRead(readForKeeper, keeper.readTo, reply);
         return;
     }
-    if (phase_ != JournalPhase::Reading || name != source_) {
+    if (phase_ != JournalPhase::Recovering || name != readSource_) {
         return;
     }
     for (const LogEntry &entry : reply.entries) {
@@ -344,36 +344,36 @@
         recovered_.entries.push_back(entry);
     }
     if (reply.isComplete) {
-        finishReading();
+        finishRecovery();
     }
 }
 
-void JournalWriter::finishReading()
+void JournalWriter::finishRecovery()
 {
     beforeWindow_ = sourceEnd_;
     lastIndex_ = sourceEnd_.index;
-    phase_ = JournalPhase::Confirming;
-    // Entries of earlier epochs can't be committed by counting them; the barrier commits them with itself.
-    push(EntryKind::Barrier, {});
-    barrier_ = lastIndex_;
+    phase_ = JournalPhase::CommittingBarrier;
+    // As in Raft, entries of earlier terms are committed only indirectly, by an entry of the current term.
+    appendEntry(EntryKind::Barrier, {});
+    barrierIndex_ = lastIndex_;
 }
 
-void JournalWriter::onCopyRead(const VmName &laggingKeeperName, LogIndex readTo, const JournalReadReply &reply)
+void JournalWriter::onCatchUpRead(const VmName &laggingName, LogIndex readTo, const JournalReadReply &reply)
 {
-    Keeper &laggard = keepers_.at(laggingKeeperName);
-    laggard.retryAt = now_;
-    if (laggard.pendingId != 0) {
+    Keeper &lagging = keepers_.at(laggingName);
+    lagging.retryAt = now_;
+    if (lagging.pendingId != 0) {
         return;
     }
     JournalAppend request {options_.partition, options_.epoch, options_.self, reply.previousIndex,
-                           reply.previousTerm, reply.entries,  commit_};
+                           reply.previousTerm, reply.entries,  commitIndex_};
     if (reply.isComplete && readTo == beforeWindow_.index) {
-        // The entry right before the window may be forgotten at the source, so the window can't be joined to it by
-        // a request of its own. When the window has moved on since the reading began, what lies between would look
-        // forgotten; then only what was read is sent, and the rest is read next.
+        // The source may have forgotten the entry before the window, so the lagging keeper could not match a request
+        // that starts at the window. If the window has advanced since the read, the gap would look forgotten; then
+        // only the read entries are sent, and the rest is read next.
         addFromWindow(request, beforeWindow_.index + 1);
     }
-    send(laggingKeeperName, laggard, std::move(request));
+    send(laggingName, lagging, std::move(request));
 }
 
 void JournalWriter::onAppend(Keeper &keeper, const JournalAppendReply &reply)
@@ -382,14 +382,14 @@
         depose(reply.promised);
         return;
     }
-    keeper.next = reply.index + 1;
+    keeper.nextIndex = reply.index + 1;
     if (!reply.accepted) {
-        // Less than it once confirmed means that it has lost its disk.
-        keeper.match = std::min(keeper.match, reply.index);
+        // An index below the match index means that the keeper has lost its disk.
+        keeper.matchIndex = std::min(keeper.matchIndex, reply.index);
         return;
     }
-    keeper.isKnown = true;
-    keeper.match = std::max(keeper.match, reply.index);
+    keeper.isMatchKnown = true;
+    keeper.matchIndex = std::max(keeper.matchIndex, reply.index);
     advanceCommit();
     trimWindow();
 }
@@ -398,34 +398,34 @@
 {
     std::vector<LogIndex> matches;
     for (const auto &[name, keeper] : keepers_) {
-        matches.push_back(keeper.match);
+        matches.push_back(keeper.matchIndex);
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const LogIndex candidate = matches[quorum() - 1];
-    if (candidate < barrier_ || candidate <= commit_) {
+    if (candidate < barrierIndex_ || candidate <= commitIndex_) {
         return;
     }
-    checkInvariant(candidate <= lastIndex_, "no keeper holds more than its owner wrote");
-    commit_ = candidate;
-    if (phase_ == JournalPhase::Confirming) {
+    checkInvariant(candidate <= lastIndex_, "a match index must not exceed the last index");
+    commitIndex_ = candidate;
+    if (phase_ == JournalPhase::CommittingBarrier) {
         phase_ = JournalPhase::Open;
     }
 }
 
 void JournalWriter::trimWindow()
 {
-    LogIndex heldByAll = lastIndex_;
+    LogIndex matchedByAll = lastIndex_;
     for (const auto &[name, keeper] : keepers_) {
-        heldByAll = std::min(heldByAll, keeper.match);
+        matchedByAll = std::min(matchedByAll, keeper.matchIndex);
     }
     while (!window_.empty()) {
         const LogEntry &first = window_.front();
-        const bool isOverfull = windowSize_ > options_.windowBytes && first.index <= commit_;
-        if (first.index > heldByAll && !isOverfull) {
+        const bool isOverfull = windowBytes_ > options_.windowBytes && first.index <= commitIndex_;
+        if (first.index > matchedByAll && !isOverfull) {
             return;
         }
         beforeWindow_ = {first.index, first.term};
-        windowSize_ -= first.payload.size() + entryOverheadBytes;
+        windowBytes_ -= first.payload.size() + entryOverheadBytes;
         window_.pop_front();
     }
 }
--- a/src/daemon/cp_partition_table.cpp
+++ b/src/daemon/cp_partition_table.cpp
@@ -136,7 +136,7 @@
             }
             for (const VmName &name : restarted) {
                 if (slot->writer) {
-                    slot->writer->recheck(name);
+                    slot->writer->invalidateMatch(name);
                 }
             }
         }
@@ -281,7 +281,7 @@
             takeoverTime_.observe(std::chrono::duration<double>(timeNow() - target.openedAt).count());
         }
         target.isReady = target.isReady || becameReady;
-        if (!target.writer->isQuiet()) {
+        if (!target.writer->isIdle()) {
             const std::lock_guard busyLock(busyMutex_);
             busy_.insert(partition);
         }
--- a/tests/support/cp_journal_cluster.hpp
+++ b/tests/support/cp_journal_cluster.hpp
@@ -83,7 +83,7 @@
             throw Violation("the new disk can't be written");
         }
         for (auto &[epoch, owner] : owners) {
-            owner->writer->recheck(name);
+            owner->writer->invalidateMatch(name);
         }
     }
 
