--- a/include/cardamompost/control/cp_control_command.hpp
+++ b/include/cardamompost/control/cp_control_command.hpp
@@ -12,12 +12,11 @@
 namespace cardamompost
 {
 
-//! What the control log has recorded of a VM.
 enum class VmState : std::uint8_t {
     Live,
-    //! It takes no new work and hands over its partitions.
+    //! Draining: takes no new work and hands over its partitions.
     Leaving,
-    //! Its lease ran out.
+    //! Its lease has expired.
     Lost,
 };
 
@@ -27,10 +26,10 @@
     Named {VmState::Lost, "lost"},
 };
 
-//! A VM of the system as the control log knows it.
+//! Registration of a VM in the control log.
 struct VmRecord {
     VmName name;
-    //! New for each start of the process, so that an old one is never taken for its successor.
+    //! Unique to each start of the process; tells a restarted VM from its previous run.
     std::uint64_t bootId = 0;
     Address http;
     Address peer;
@@ -41,23 +40,23 @@
     friend bool operator==(const VmRecord &, const VmRecord &) = default;
 };
 
-//! A change of the operators' document.
+//! A change of the configuration document, submitted by an operator.
 struct ConfigurationChange {
-    //! The same for each resend of one submission.
+    //! Idempotency key: the same for each retry of a submission.
     std::string requestId;
     std::uint64_t baseVersion = 0;
     std::string author;
-    //! Of the whole document that was submitted, so that a resend is known although its delta is another by then.
+    //! Hash of the whole submitted document. Identifies a retry, whose delta may differ from that of the first attempt.
     std::uint64_t documentHash = 0;
     DocumentDelta delta;
 };
 
-//! A change of a partition's owner or keepers; void when the partition's epoch is not the expected one.
+//! A change of a partition's owner or keepers; ignored unless the partition is at the expected epoch.
 struct PartitionMove {
     PartitionId partition = 0;
     Epoch expectedEpoch = 0;
     VmName owner;
-    //! Empty keeps them.
+    //! Empty leaves the keepers unchanged.
     std::vector<VmName> keepers;
 
     friend bool operator==(const PartitionMove &, const PartitionMove &) = default;
@@ -65,10 +64,9 @@
 
 using ControlCommand = std::variant<ConfigurationChange, VmRecord, std::vector<PartitionMove>>;
 
-//! Bytes of a command for the control log.
 [[nodiscard]] std::string encodeCommand(const ControlCommand &command);
 
-//! Errors: InvalidRequest for bytes that encodeCommand() did not make.
+//! Errors: InvalidRequest for bytes that are no encoded command.
 [[nodiscard]] Result<ControlCommand> decodeCommand(std::string_view bytes);
 
 } // namespace cardamompost
--- a/include/cardamompost/control/cp_control_message.hpp
+++ b/include/cardamompost/control/cp_control_message.hpp
@@ -7,28 +7,28 @@
 namespace cardamompost
 {
 
-//! Renews a VM's lease on all that it owns, and tells what it has applied.
+//! Renews a VM's lease on its partitions and reports its progress.
 struct LeaseRequest {
     VmRecord vm;
     LogIndex appliedIndex = 0;
     std::uint64_t configurationVersion = 0;
     std::uint32_t programs = 0;
-    //! The reply has to come from a leader that has confirmed, after this request, that it still leads.
+    //! The leader must confirm its leadership with a quorum before it replies.
     bool isConfirmed = false;
 };
 
 struct LeaseReply {
-    //! False from a member that does not lead; leader then names the one to ask.
+    //! False if the member is not the leader; leader then names the one to retry with.
     bool granted = false;
     VmName leader;
-    //! Counted by the holder from when it sent the request.
+    //! Runs from when the holder sent the request.
     std::uint32_t durationMs = 0;
-    //! What the holder must have applied before the lease allows new work.
+    //! Index that the holder must have applied before it takes new work under the lease.
     LogIndex minIndex = 0;
     std::uint64_t configurationVersion = 0;
 };
 
-//! Answer to a proposed command, given once it is committed and applied on the leader.
+//! Reply to a proposed command, sent once the leader has committed and applied it.
 struct ProposeReply {
     bool accepted = false;
     VmName leader;
@@ -36,7 +36,7 @@
     ApplyResult result;
 };
 
-//! Asks for the control log behind an index; answered at once, or when there is something new.
+//! Long poll for the entries of the control log after an index.
 struct PullRequest {
     LogIndex afterIndex = 0;
     std::uint32_t waitMs = 0;
@@ -44,26 +44,26 @@
 
 struct PullReply {
     std::vector<LogEntry> entries;
-    //! Set instead of entries when those are compacted away.
+    //! Set instead of entries if those have been compacted.
     LogIndex snapshotIndex = 0;
     std::string snapshot;
 };
 
-//! Asks a keeper how it sees the system.
+//! Asks a keeper for its view of the consensus group and the VMs.
 struct StatusRequest {
 };
 
-//! Asks a keeper whether its system has committed anything yet.
+//! Asks a keeper whether its consensus group is formed, that is, has committed an entry.
 struct ProbeRequest {
 };
 
 struct ProbeReply {
     bool isFormed = false;
-    //! The highest term that the keeper knows of.
+    //! Highest term seen by the keeper.
     Term term = 0;
 };
 
-//! What the leader last heard from a VM.
+//! Progress of a VM as of its last lease request to the leader.
 struct VmReport {
     VmName name;
     std::uint32_t sinceContactMs = 0;
--- a/include/cardamompost/control/cp_control_state.hpp
+++ b/include/cardamompost/control/cp_control_state.hpp
@@ -9,40 +9,40 @@
 namespace cardamompost
 {
 
-//! How a command ended when it was applied.
+//! Outcome of applying a command.
 enum class ApplyKind : std::uint8_t {
     Applied,
-    //! The same request was applied before; its first result stands.
+    //! A retry of a request that has been applied.
     Duplicate,
     VersionConflict,
-    //! The request id belongs to another change.
+    //! The request id was used for a different change.
     IdempotencyConflict,
-    //! Nothing of the command fitted the state any more.
+    //! No part of the command applies to the current state.
     Stale,
 };
 
 struct ApplyResult {
     ApplyKind kind = ApplyKind::Applied;
-    //! Configuration version after the command, or the one that the first copy of the request made.
+    //! Configuration version after the command; for a known request id, the version that its first use created.
     std::uint64_t version = 0;
 };
 
-//! An accepted change of the configuration, kept for operators who send it again.
+//! An accepted change of the configuration, kept to recognize retries.
 struct RequestRecord {
-    //! That it made.
+    //! Configuration version that the change created.
     std::uint64_t version = 0;
-    //! Of the document that was submitted.
+    //! Hash of the submitted document.
     std::uint64_t hash = 0;
 };
 
-//! Who owns a partition, and where its journal is kept.
+//! Owner of a partition and keepers of its journal.
 struct PartitionRecord {
     Epoch epoch = 0;
     VmName owner;
     std::vector<VmName> keepers;
 };
 
-//! The replicated state of the control log: the same on every VM that has applied the same entries.
+//! The replicated state machine of the control log; apply() is deterministic.
 class ControlState
 {
 public:
@@ -50,7 +50,7 @@
 
     ApplyResult apply(const ControlCommand &command);
 
-    //! Grows by one with each accepted change; never goes back.
+    //! Incremented by each accepted change.
     [[nodiscard]] std::uint64_t configurationVersion() const
     {
         return version_;
@@ -68,19 +68,19 @@
         return partitions_;
     }
     [[nodiscard]] const VmRecord *findVm(const VmName &name) const;
-    //! What became of a request id; nothing for a new one.
+    //! Returns nullopt for an unknown request id.
     [[nodiscard]] std::optional<RequestRecord> findRequest(const std::string &requestId) const;
 
     [[nodiscard]] std::string encode() const;
-    //! Errors: StorageCorrupt for bytes of another form.
+    //! Errors: StorageCorrupt for bytes that are no encoded state.
     [[nodiscard]] static Result<ControlState> decode(std::string_view bytes);
 
 private:
     ApplyResult applyConfiguration(const ConfigurationChange &change);
     ApplyResult applyVm(const VmRecord &vm);
     ApplyResult applyMoves(const std::vector<PartitionMove> &moves);
-    void disown(const VmName &name);
-    void rememberRequest(const std::string &id, RequestRecord record);
+    void revokeOwnership(const VmName &name);
+    void recordRequest(const std::string &id, RequestRecord record);
 
     std::uint64_t version_ = 0;
     SectionDocument document_;
--- a/include/cardamompost/control/cp_partition_planner.hpp
+++ b/include/cardamompost/control/cp_partition_planner.hpp
@@ -9,20 +9,21 @@
 namespace cardamompost
 {
 
-//! Copies of each journal, if there are as many keepers.
-inline constexpr std::size_t journalCopies = 3;
+//! Number of replicas of each journal, given enough keepers.
+inline constexpr std::size_t journalReplicationFactor = 3;
 
-//! The keepers of a partition's journal: spread over failure domains first, then by a hash of both names, so that
-//! the loss of one keeper spreads its repair over all others.
+//! Selects the keepers of a partition's journal by rendezvous hashing, from distinct failure domains where possible.
+//! The hash spreads the catch-up after the loss of a keeper over all others.
 [[nodiscard]] std::vector<VmName> chooseKeepers(PartitionId partition, const std::vector<KeeperPeer> &keepers);
 
-//! Owners for the partitions that have none, each to the VM that owns least.
-//! \param usable  VMs that hold a lease and are not leaving
+//! Assigns each partition without an owner to the VM that owns the fewest.
+//! \param usable   VMs that hold a lease and are not leaving
+//! \param keepers  candidates for partitions that have no keepers yet
 [[nodiscard]] std::vector<PartitionMove> planAssignments(const ControlState &state, const std::set<VmName> &usable,
                                                          const std::vector<KeeperPeer> &keepers);
 
-//! Partitions that a VM should hand over, and to whom: all when it is leaving, otherwise those above its share.
-//! \param limit  most moves at once
+//! Plans the moves of a VM's partitions to others: all of them if it is leaving, otherwise those above an even share.
+//! \param limit  maximum number of moves
 [[nodiscard]] std::vector<PartitionMove> planHandover(const ControlState &state, const VmName &self,
                                                       const std::set<VmName> &usable, std::size_t limit);
 
--- a/src/cardamompost/control/cp_control_codec.cpp
+++ b/src/cardamompost/control/cp_control_codec.cpp
@@ -96,7 +96,7 @@
         return decodeCommandMessage(AlignedMessage(bytes).root<schema::ControlCommand>());
     } catch (const kj::Exception &error) {
         return makeError(ErrorKind::InvalidRequest,
-                         std::string("a control command can't be read: ") + error.getDescription().cStr());
+                         std::string("cannot decode control command: ") + error.getDescription().cStr());
     }
 }
 
@@ -136,15 +136,14 @@
     try {
         AlignedMessage message(bytes);
         const auto in = message.root<schema::ControlSnapshot>();
-        // Asked for once: each question counts the whole list against what a reader follows, and with many partitions a
-        // sound snapshot was refused for it.
+        // Read only once: each call counts the whole list against the traversal limit of Cap'n Proto.
         const auto partitions = in.getPartitions();
-        // Guards the memory of a VM that reads damaged bytes: a list of empty records claims millions of them in a few
-        // bytes, and every sound one takes a word at least.
-        const std::size_t most = bytes.size() / sizeof(capnp::word);
-        if (partitions.size() > most || in.getSections().size() > most || in.getRequests().size() > most
-            || in.getVms().size() > most) {
-            return makeError(ErrorKind::StorageCorrupt, "a control snapshot claims more than its bytes can hold");
+        // Bounds the allocation for corrupt bytes: a list of zero-sized structs can declare millions of them in a few
+        // bytes, while each valid record takes at least a word.
+        const std::size_t maxRecords = bytes.size() / sizeof(capnp::word);
+        if (partitions.size() > maxRecords || in.getSections().size() > maxRecords
+            || in.getRequests().size() > maxRecords || in.getVms().size() > maxRecords) {
+            return makeError(ErrorKind::StorageCorrupt, "control snapshot declares more records than its size allows");
         }
         ControlState state(partitions.size());
         state.version_ = in.getConfigurationVersion();
@@ -156,7 +155,7 @@
         }
         state.document_.apply(delta);
         for (const auto request : in.getRequests()) {
-            state.rememberRequest(fromText(request.getId()), {request.getVersion(), request.getHash()});
+            state.recordRequest(fromText(request.getId()), {request.getVersion(), request.getHash()});
         }
         for (const auto vm : in.getVms()) {
             VmRecord record = decodeVm(vm);
@@ -169,7 +168,7 @@
         return state;
     } catch (const kj::Exception &error) {
         return makeError(ErrorKind::StorageCorrupt,
-                         std::string("a control snapshot can't be read: ") + error.getDescription().cStr());
+                         std::string("cannot decode control snapshot: ") + error.getDescription().cStr());
     }
 }
 
--- a/src/cardamompost/control/cp_control_state.cpp
+++ b/src/cardamompost/control/cp_control_state.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Answers kept for operators who resend after losing one. At 11,000 changes a day this is nine hours.
+// Results kept to recognize retries; the oldest is dropped first.
 constexpr std::size_t maxRequests = 4096;
 
 } // namespace
@@ -30,27 +30,27 @@
     } else {
         result = applyMoves(std::get<std::vector<PartitionMove>>(command));
     }
-    checkInvariant(version_ >= before, "the configuration version never goes back");
+    checkInvariant(version_ >= before, "the configuration version must not decrease");
     return result;
 }
 
 ApplyResult ControlState::applyConfiguration(const ConfigurationChange &change)
 {
-    const auto known = requests_.find(change.requestId);
-    if (known != requests_.end()) {
-        const bool isSame = known->second.hash == change.documentHash;
-        return {isSame ? ApplyKind::Duplicate : ApplyKind::IdempotencyConflict, known->second.version};
+    const auto existing = requests_.find(change.requestId);
+    if (existing != requests_.end()) {
+        const bool isSame = existing->second.hash == change.documentHash;
+        return {isSame ? ApplyKind::Duplicate : ApplyKind::IdempotencyConflict, existing->second.version};
     }
     if (change.baseVersion != version_) {
         return {ApplyKind::VersionConflict, version_};
     }
     document_.apply(change.delta);
     ++version_;
-    rememberRequest(change.requestId, {version_, change.documentHash});
+    recordRequest(change.requestId, {version_, change.documentHash});
     return {ApplyKind::Applied, version_};
 }
 
-void ControlState::rememberRequest(const std::string &id, RequestRecord record)
+void ControlState::recordRequest(const std::string &id, RequestRecord record)
 {
     requests_.emplace(id, record);
     requestOrder_.push_back(id);
@@ -62,21 +62,22 @@
 
 ApplyResult ControlState::applyVm(const VmRecord &vm)
 {
-    const auto known = vms_.find(vm.name);
-    if (known != vms_.end() && known->second == vm) {
+    const auto existing = vms_.find(vm.name);
+    if (existing != vms_.end() && existing->second == vm) {
         return {ApplyKind::Stale, version_};
     }
-    const bool hasLostState = vm.state == VmState::Lost || known == vms_.end() || known->second.bootId != vm.bootId;
+    const bool losesOwnership
+        = vm.state == VmState::Lost || existing == vms_.end() || existing->second.bootId != vm.bootId;
     vms_.insert_or_assign(vm.name, vm);
-    // Guards against a restarted process that takes its old epochs for its own: it does not know what it wrote in
-    // them, and a second entry at the same index and epoch would mix two histories. So all it owned gets a new one.
-    if (hasLostState) {
-        disown(vm.name);
+    // A restarted process doesn't know what it wrote in its epochs and could write a second entry at the same index
+    // and epoch, so its partitions get new epochs.
+    if (losesOwnership) {
+        revokeOwnership(vm.name);
     }
     return {ApplyKind::Applied, version_};
 }
 
-void ControlState::disown(const VmName &name)
+void ControlState::revokeOwnership(const VmName &name)
 {
     for (PartitionRecord &partition : partitions_) {
         if (partition.owner == name) {
--- a/src/cardamompost/control/cp_partition_planner.cpp
+++ b/src/cardamompost/control/cp_partition_planner.cpp
@@ -9,10 +9,10 @@
 {
 
 //! How many partitions each usable VM owns.
-class OwnerCounts
+class OwnershipCounts
 {
 public:
-    OwnerCounts(const ControlState &state, const std::set<VmName> &usable)
+    OwnershipCounts(const ControlState &state, const std::set<VmName> &usable)
     {
         for (const VmName &name : usable) {
             counts_[name] = 0;
@@ -34,21 +34,21 @@
         const auto found = counts_.find(name);
         return found == counts_.end() ? 0 : found->second;
     }
-    //! The VM with the fewest, and one more for it.
-    VmName takeLeast()
+    //! Counts one more partition for the VM that owns the fewest, and returns its name.
+    VmName assignToLeastLoaded()
     {
         const auto least = std::min_element(counts_.begin(), counts_.end(),
                                             [](const auto &a, const auto &b) { return a.second < b.second; });
         ++least->second;
         return least->first;
     }
-    [[nodiscard]] std::size_t least() const
+    [[nodiscard]] std::size_t lowestCount() const
     {
         return std::min_element(counts_.begin(), counts_.end(),
                                 [](const auto &a, const auto &b) { return a.second < b.second; })
             ->second;
     }
-    void give(const VmName &name)
+    void release(const VmName &name)
     {
         const auto found = counts_.find(name);
         if (found != counts_.end()) {
@@ -74,11 +74,11 @@
               [&](const KeeperPeer *a, const KeeperPeer *b) { return weight(a) > weight(b); });
     std::vector<VmName> chosen;
     std::set<std::string> domains;
-    // First one keeper a failure domain, so that the loss of a domain leaves a quorum; then whoever is left.
+    // The first pass takes one keeper per failure domain, so that the loss of a domain leaves a quorum.
     for (const bool isNewDomainNeeded : {true, false}) {
         for (const KeeperPeer *keeper : order) {
-            const bool isTaken = std::find(chosen.begin(), chosen.end(), keeper->name) != chosen.end();
-            if (isTaken || chosen.size() == journalCopies
+            const bool isChosen = std::find(chosen.begin(), chosen.end(), keeper->name) != chosen.end();
+            if (isChosen || chosen.size() == journalReplicationFactor
                 || (isNewDomainNeeded && domains.contains(keeper->failureDomain))) {
                 continue;
             }
@@ -93,7 +93,7 @@
                                            const std::vector<KeeperPeer> &keepers)
 {
     std::vector<PartitionMove> moves;
-    OwnerCounts counts(state, usable);
+    OwnershipCounts counts(state, usable);
     for (PartitionId id = 0; id < state.partitions().size() && !counts.isEmpty(); ++id) {
         const PartitionRecord &partition = state.partitions()[id];
         if (!partition.owner.empty()) {
@@ -101,7 +101,7 @@
         }
         const std::vector<VmName> chosen
             = partition.keepers.empty() ? chooseKeepers(id, keepers) : std::vector<VmName> {};
-        moves.push_back({id, partition.epoch, counts.takeLeast(), chosen});
+        moves.push_back({id, partition.epoch, counts.assignToLeastLoaded(), chosen});
     }
     return moves;
 }
@@ -110,7 +110,7 @@
                                         std::size_t limit)
 {
     std::vector<PartitionMove> moves;
-    OwnerCounts counts(state, usable);
+    OwnershipCounts counts(state, usable);
     if (counts.isEmpty()) {
         return moves;
     }
@@ -120,12 +120,12 @@
         if (partition.owner != self) {
             continue;
         }
-        // One above the least is even; a move there would only be undone by the next one.
-        if (!isLeaving && counts.countOf(self) <= counts.least() + 1) {
+        // A difference of one is even; a move would only reverse it.
+        if (!isLeaving && counts.countOf(self) <= counts.lowestCount() + 1) {
             break;
         }
-        counts.give(self);
-        moves.push_back({id, partition.epoch, counts.takeLeast(), {}});
+        counts.release(self);
+        moves.push_back({id, partition.epoch, counts.assignToLeastLoaded(), {}});
     }
     return moves;
 }
--- a/tests/control/cp_control_state.tests.cpp
+++ b/tests/control/cp_control_state.tests.cpp
@@ -23,7 +23,7 @@
     return {name, {"127.0.0.1", 1}, domain};
 }
 
-ControlState ownedBy(std::uint32_t partitions, const std::vector<VmName> &owners)
+ControlState stateOwnedBy(std::uint32_t partitions, const std::vector<VmName> &owners)
 {
     ControlState state(partitions);
     std::vector<PartitionMove> moves;
@@ -41,23 +41,21 @@
 
 BOOST_AUTO_TEST_SUITE(control_state)
 
-// Two operators change the same version at once. One wins; the other must be told, and see what changed meanwhile,
-// or the first one's change would silently be undone.
-BOOST_AUTO_TEST_CASE(of_two_changes_with_one_base_the_second_conflicts)
+// Guards against lost updates: the second change would silently undo the first.
+BOOST_AUTO_TEST_CASE(the_second_of_two_changes_with_the_same_base_version_conflicts)
 {
     ControlState state(4);
     const ConfigurationChange first = change("a", 0, "[class x]\nrank = 1\n", state);
     const ConfigurationChange second = change("b", 0, "[class x]\nrank = 2\n", state);
     BOOST_TEST((state.apply(first).kind == ApplyKind::Applied));
-    const ApplyResult lost = state.apply(second);
-    BOOST_TEST((lost.kind == ApplyKind::VersionConflict));
-    BOOST_TEST(lost.version == 1U);
+    const ApplyResult rejected = state.apply(second);
+    BOOST_TEST((rejected.kind == ApplyKind::VersionConflict));
+    BOOST_TEST(rejected.version == 1U);
     BOOST_TEST(state.document().text() == "[class x]\nrank = 1\n");
 }
 
-// An operator's change is accepted, the answer is lost, and the operator sends it again, after somebody else's change
-// has passed. The first answer stands, and nothing is applied twice.
-BOOST_AUTO_TEST_CASE(a_resent_change_gets_its_first_answer)
+// The reply to a change is lost, and the operator retries after another change was accepted.
+BOOST_AUTO_TEST_CASE(a_retried_change_is_not_applied_twice)
 {
     ControlState state(4);
     const ConfigurationChange first = change("a", 0, "[class x]\nrank = 1\n", state);
@@ -65,17 +63,17 @@
     state.apply(change("b", 1, "[class x]\nrank = 7\n", state));
     const ControlState restarted = ControlState::decode(state.encode()).value();
     ControlState copy = restarted;
-    const ApplyResult again = copy.apply(first);
-    BOOST_TEST((again.kind == ApplyKind::Duplicate));
-    BOOST_TEST(again.version == 1U);
+    const ApplyResult retried = copy.apply(first);
+    BOOST_TEST((retried.kind == ApplyKind::Duplicate));
+    BOOST_TEST(retried.version == 1U);
     BOOST_TEST(copy.configurationVersion() == 2U);
     ConfigurationChange other = change("a", 2, "[class y]\n", copy);
     BOOST_TEST((copy.apply(other).kind == ApplyKind::IdempotencyConflict));
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_holds_all_of_the_state)
+BOOST_AUTO_TEST_CASE(a_snapshot_restores_the_whole_state)
 {
-    ControlState state = ownedBy(8, {"vm-1", "vm-2"});
+    ControlState state = stateOwnedBy(8, {"vm-1", "vm-2"});
     state.apply(change("a", 0, "; comment\n[class x]\nrank = 1\n[class y]\nrank = 2\n", state));
     const ControlState copy = ControlState::decode(state.encode()).value();
     BOOST_TEST(copy.encode() == state.encode());
@@ -84,7 +82,7 @@
     BOOST_TEST(copy.partitions()[3].keepers.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_command_survives_its_encoding)
+BOOST_AUTO_TEST_CASE(an_encoded_command_decodes_to_an_equal_one)
 {
     const ControlCommand moves = std::vector<PartitionMove> {{7, 9, "vm-1", {"a", "b"}}};
     const ControlCommand copy = decodeCommand(encodeCommand(moves)).value();
@@ -92,11 +90,10 @@
     BOOST_TEST(decodeCommand("not a message").has_error());
 }
 
-// A process dies and is started again before its lease runs out. It does not know what it had written in its epochs;
-// if it went on in them, two different entries could stand at one place of a journal.
-BOOST_AUTO_TEST_CASE(a_restarted_process_loses_the_epochs_of_its_predecessor)
+// A process that restarts before its lease expires could write different entries at one index of an old epoch.
+BOOST_AUTO_TEST_CASE(a_restarted_process_loses_its_previous_epochs)
 {
-    ControlState state = ownedBy(4, {"vm-1", "vm-2"});
+    ControlState state = stateOwnedBy(4, {"vm-1", "vm-2"});
     const Epoch before = state.partitions()[0].epoch;
     state.apply(vm("vm-1", 2));
     BOOST_TEST(state.partitions()[0].owner.empty());
@@ -104,17 +101,17 @@
     BOOST_TEST(state.partitions()[1].owner == "vm-2");
 }
 
-BOOST_AUTO_TEST_CASE(a_move_is_void_when_another_one_was_first)
+BOOST_AUTO_TEST_CASE(a_move_with_an_outdated_epoch_is_stale)
 {
-    ControlState state = ownedBy(4, {"vm-1"});
+    ControlState state = stateOwnedBy(4, {"vm-1"});
     const Epoch epoch = state.partitions()[0].epoch;
     state.apply(std::vector<PartitionMove> {{0, epoch, "vm-2", {}}});
-    const ApplyResult late = state.apply(std::vector<PartitionMove> {{0, epoch, "vm-3", {}}});
-    BOOST_TEST((late.kind == ApplyKind::Stale));
+    const ApplyResult stale = state.apply(std::vector<PartitionMove> {{0, epoch, "vm-3", {}}});
+    BOOST_TEST((stale.kind == ApplyKind::Stale));
     BOOST_TEST(state.partitions()[0].owner == "vm-2");
 }
 
-BOOST_AUTO_TEST_CASE(copies_of_a_journal_lie_in_different_failure_domains)
+BOOST_AUTO_TEST_CASE(replicas_of_a_journal_are_in_different_failure_domains)
 {
     const std::vector<KeeperPeer> keepers {keeper("k1", "a"), keeper("k2", "a"), keeper("k3", "b"), keeper("k4", "b"),
                                            keeper("k5", "c")};
@@ -133,9 +130,9 @@
     BOOST_TEST(used["k2"] > 100);
 }
 
-BOOST_AUTO_TEST_CASE(partitions_without_owner_go_to_those_with_the_fewest)
+BOOST_AUTO_TEST_CASE(partitions_without_an_owner_are_assigned_to_the_vms_with_the_fewest)
 {
-    ControlState state = ownedBy(90, {"vm-1", "vm-2", "vm-3"});
+    ControlState state = stateOwnedBy(90, {"vm-1", "vm-2", "vm-3"});
     state.apply(vm("vm-3", 1, VmState::Lost));
     const std::vector<PartitionMove> moves = planAssignments(state, {"vm-1", "vm-2"}, {keeper("k1", "a")});
     BOOST_TEST(moves.size() == 30U);
@@ -143,9 +140,9 @@
                == 15);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_vm_gets_its_share_with_hardly_a_move_more_than_needed)
+BOOST_AUTO_TEST_CASE(rebalancing_to_a_new_vm_is_even_and_takes_few_extra_moves)
 {
-    ControlState state = ownedBy(90, {"vm-1", "vm-2"});
+    ControlState state = stateOwnedBy(90, {"vm-1", "vm-2"});
     const std::set<VmName> usable {"vm-1", "vm-2", "vm-3"};
     std::size_t moved = 0;
     for (int round = 0; round < 20; ++round) {
@@ -167,16 +164,15 @@
     BOOST_TEST(moved <= 32U);
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_vm_hands_over_everything)
+BOOST_AUTO_TEST_CASE(a_leaving_vm_hands_over_all_partitions)
 {
-    const ControlState state = ownedBy(30, {"vm-1", "vm-2", "vm-3"});
+    const ControlState state = stateOwnedBy(30, {"vm-1", "vm-2", "vm-3"});
     BOOST_TEST(planHandover(state, "vm-1", {"vm-2", "vm-3"}, 100).size() == 10U);
     BOOST_TEST(planHandover(state, "vm-1", {}, 100).empty());
 }
 
-// Damaged bytes claim millions of records, each of which takes none of them. A VM that read them took gigabytes and ten
-// seconds, or was ended for its memory, at each start.
-BOOST_AUTO_TEST_CASE(a_snapshot_that_claims_more_than_its_bytes_can_hold_is_refused)
+// Guards against excessive allocation: corrupt bytes can declare millions of zero-sized records.
+BOOST_AUTO_TEST_CASE(a_snapshot_that_declares_more_records_than_its_size_allows_is_rejected)
 {
     constexpr std::string_view bytes("\0\0\0\0\4\0\0\0\0\0\0\0\0\0\1\0\xc5\0\0\0\x60\x40\0\5\xc0\xb7\0\3"
                                      "\3\3\3\3\x41\x2e\x29\0\0\x2d\1\x80\x3b\xfd",
@@ -184,8 +180,8 @@
     BOOST_TEST(!ControlState::decode(bytes).has_value());
 }
 
-// A system with as many partitions as settings allow: its snapshots were written and could not be read again.
-BOOST_AUTO_TEST_CASE(a_snapshot_with_the_most_partitions_is_read_again)
+// Guards against the traversal limit of Cap'n Proto, which could reject a valid snapshot of the maximum size.
+BOOST_AUTO_TEST_CASE(a_snapshot_with_the_maximum_number_of_partitions_can_be_decoded)
 {
     constexpr std::uint32_t mostPartitions = 65'536;
     BOOST_TEST(ControlState::decode(ControlState(mostPartitions).encode()).has_value());
