--- a/fuzzing/soak.cpp
+++ b/fuzzing/soak.cpp
@@ -1,11 +1,12 @@
-#include "support/cp_journal_storm.hpp"
+#include "support/cp_journal_fault_simulation.hpp"
 #include "support/cp_raft_fault_simulation.hpp"
 
 #include <charconv>
 #include <cstring>
 #include <iostream>
 
-// Runs the randomised failures of the tests with many more seeds: soak FROM TO. Prints a failing seed and ends with 1.
+// Runs the randomised fault simulations of the tests for a range of seeds. Stops at the first violation, prints its
+// seed and exits with status 1.
 
 namespace
 {
@@ -23,31 +24,31 @@
     double virtualHours = 0;
 };
 
-double hoursOf(cardamompost::Milliseconds time)
+double toHours(cardamompost::Milliseconds time)
 {
     return std::chrono::duration<double, std::ratio<3600>>(time).count();
 }
 
 void runRaft(std::uint64_t seed, Totals &totals)
 {
-    RaftFaultSimulation storm(seed, seed % 2 == 0 ? 3 : 5);
-    storm.wipes = seed % 3 == 0;
-    const FaultSimulationResult result = storm.run(raftSteps);
+    RaftFaultSimulation simulation(seed, seed % 2 == 0 ? 3 : 5);
+    simulation.wipes = seed % 3 == 0;
+    const FaultSimulationResult result = simulation.run(raftSteps);
     totals.acknowledged += result.acknowledged;
     totals.wipes += result.wipes;
-    totals.virtualHours += hoursOf(result.virtualTime);
+    totals.virtualHours += toHours(result.virtualTime);
 }
 
 void runJournal(std::uint64_t seed, Totals &totals)
 {
-    JournalStorm storm(seed);
-    storm.wipes = seed % 2 == 0;
-    const cardamompost::TimePoint start = storm.cluster().network.now;
-    storm.run(journalSteps);
-    totals.acknowledged += storm.cluster().acknowledged.size();
-    totals.takeovers += storm.cluster().opened;
+    JournalFaultSimulation simulation(seed);
+    simulation.wipes = seed % 2 == 0;
+    const cardamompost::TimePoint start = simulation.cluster().network.now;
+    simulation.run(journalSteps);
+    totals.acknowledged += simulation.cluster().acknowledged.size();
+    totals.takeovers += simulation.cluster().openCount;
     totals.virtualHours
-        += hoursOf(std::chrono::duration_cast<cardamompost::Milliseconds>(storm.cluster().network.now - start));
+        += toHours(std::chrono::duration_cast<cardamompost::Milliseconds>(simulation.cluster().network.now - start));
 }
 
 std::uint64_t parse(const char *text)
--- a/tests/journal/cp_journal.tests.cpp
+++ b/tests/journal/cp_journal.tests.cpp
@@ -1,4 +1,4 @@
-#include "support/cp_journal_storm.hpp"
+#include "support/cp_journal_fault_simulation.hpp"
 
 #include <boost/test/unit_test.hpp>
 
@@ -11,17 +11,17 @@
 constexpr std::uint64_t seedsInCi = 40;
 constexpr int steps = 400;
 
-bool isNoticed(const PlantedJournalFaults &planted, bool ignoreSyncs, std::uint64_t seeds)
+bool isDetected(const InjectedJournalDefects &defects, bool ignoreSyncs, std::uint64_t seeds)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        JournalStorm storm(seed);
-        storm.wipes = planted.sealsBlank;
-        storm.cluster().planted = planted;
-        for (auto &[name, vm] : storm.cluster().keepers) {
+        JournalFaultSimulation simulation(seed);
+        simulation.wipes = defects.sealsAfterDiskLoss;
+        simulation.cluster().defects = defects;
+        for (auto &[name, vm] : simulation.cluster().keepers) {
             vm.files.ignoreSyncs = ignoreSyncs;
         }
         try {
-            storm.run(steps);
+            simulation.run(steps);
         } catch (const Violation &) {
             return true;
         }
@@ -33,33 +33,32 @@
 
 BOOST_AUTO_TEST_SUITE(journal)
 
-BOOST_AUTO_TEST_CASE(an_owner_appends_and_the_next_one_reads_all_of_it)
+BOOST_AUTO_TEST_CASE(a_new_owner_recovers_all_entries_of_the_previous_one)
 {
     const ThrowingInvariants guard;
     JournalCluster cluster(1);
     JournalCluster::Owner &first = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(first));
+    BOOST_REQUIRE(cluster.waitUntilOpen(first));
     for (int i = 0; i < 50; ++i) {
         cluster.append(first, "record " + std::to_string(i));
     }
     cluster.run(Milliseconds(2000));
     BOOST_TEST(cluster.acknowledged.size() == 50U);
     JournalCluster::Owner &second = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(second));
+    BOOST_REQUIRE(cluster.waitUntilOpen(second));
     BOOST_TEST(second.recovered.size() == 51U);
 }
 
-// An owner is paused, loses its lease, and wakes up after another VM has taken over. It still believes that it owns
-// the partition and writes an intent; if that were confirmed, it would send a declaration that the new owner has
-// already answered as unknown.
-BOOST_AUTO_TEST_CASE(a_deposed_owner_gets_no_entry_confirmed)
+// An owner that was paused past its lease resumes after a takeover and appends an intent. If that were committed, it
+// would send a call whose outcome the new owner has already reported as unknown.
+BOOST_AUTO_TEST_CASE(a_deposed_owner_commits_no_entry)
 {
     const ThrowingInvariants guard;
     JournalCluster cluster(2);
     JournalCluster::Owner &old = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(old));
+    BOOST_REQUIRE(cluster.waitUntilOpen(old));
     JournalCluster::Owner &next = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(next));
+    BOOST_REQUIRE(cluster.waitUntilOpen(next));
     const LogIndex before = old.writer->commitIndex();
     cluster.append(old, "intent");
     cluster.run(Milliseconds(2000));
@@ -67,13 +66,12 @@
     BOOST_TEST((old.writer->phase() == JournalPhase::Deposed));
 }
 
-// One keeper is gone. Entries go on being confirmed by the other two; when it is back, it is filled up from them.
-BOOST_AUTO_TEST_CASE(a_keeper_that_was_away_is_filled_up)
+BOOST_AUTO_TEST_CASE(a_restarted_keeper_catches_up)
 {
     const ThrowingInvariants guard;
     JournalCluster cluster(3);
     JournalCluster::Owner &owner = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(owner));
+    BOOST_REQUIRE(cluster.waitUntilOpen(owner));
     cluster.crash("keeper-2");
     for (int i = 0; i < 100; ++i) {
         cluster.append(owner, "record " + std::to_string(i));
@@ -85,14 +83,13 @@
     BOOST_TEST(owner.writer->matchOf("keeper-2") == owner.writer->lastIndex());
 }
 
-// A VM loses its disk and is repaired, and right after that a second VM loses its disk. Whatever was confirmed has to
-// be on the third one and on the repaired one, although nothing was written to the partition in between.
-BOOST_AUTO_TEST_CASE(a_second_disk_may_be_lost_right_after_the_first_was_repaired)
+// The replaced replica has to catch up although nothing is appended between the two losses.
+BOOST_AUTO_TEST_CASE(a_second_disk_loss_after_catch_up_loses_no_entry)
 {
     const ThrowingInvariants guard;
     JournalCluster cluster(4);
     JournalCluster::Owner &owner = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(owner));
+    BOOST_REQUIRE(cluster.waitUntilOpen(owner));
     for (int i = 0; i < 60; ++i) {
         cluster.append(owner, "record " + std::to_string(i));
     }
@@ -103,13 +100,12 @@
     BOOST_TEST(owner.writer->upToDateKeepers() == 3U);
     cluster.wipe("keeper-2");
     JournalCluster::Owner &next = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(next));
+    BOOST_REQUIRE(cluster.waitUntilOpen(next));
     BOOST_TEST(next.recovered.size() >= 61U);
 }
 
-// A program comes to a partition that was idle. Two keepers had failed once when the partition was opened; its owner
-// was not ticked since, took them for still resting, and the caller waited 50 ms for nothing.
-BOOST_AUTO_TEST_CASE(an_append_after_a_quiet_time_is_sent_at_once)
+// Guards against an outdated clock: an idle writer is not ticked, and its keepers would seem to be in retry backoff.
+BOOST_AUTO_TEST_CASE(requests_after_an_idle_period_are_sent_without_delay)
 {
     const ThrowingInvariants guard;
     JournalWriterOptions options;
@@ -124,35 +120,33 @@
     BOOST_TEST(writer.takeRequests(now + Milliseconds(60)).size() == 1U);
 }
 
-// A keeper that lost its disk answers a seal with an empty journal. Counted towards the quorum, it would make the new
-// owner believe that nothing was ever written.
-BOOST_AUTO_TEST_CASE(a_keeper_without_its_disk_does_not_count_in_a_seal)
+// Counted in the quorum of a seal, an empty replica would hide committed entries from the new owner.
+BOOST_AUTO_TEST_CASE(a_keeper_that_lost_its_disk_does_not_count_in_a_seal)
 {
     const ThrowingInvariants guard;
     JournalCluster cluster(5);
     JournalCluster::Owner &owner = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(owner));
+    BOOST_REQUIRE(cluster.waitUntilOpen(owner));
     cluster.append(owner, "kept");
     cluster.run(Milliseconds(1000));
     cluster.crash("keeper-2");
     cluster.crash("keeper-3");
     cluster.wipe("keeper-1");
     JournalCluster::Owner &next = cluster.addOwner();
-    BOOST_TEST(!cluster.waitOpen(next, Milliseconds(3000)));
+    BOOST_TEST(!cluster.waitUntilOpen(next, Milliseconds(3000)));
     cluster.start("keeper-2");
-    BOOST_TEST(!cluster.waitOpen(next, Milliseconds(3000)));
+    BOOST_TEST(!cluster.waitUntilOpen(next, Milliseconds(3000)));
     cluster.start("keeper-3");
-    BOOST_TEST(cluster.waitOpen(next));
+    BOOST_TEST(cluster.waitUntilOpen(next));
 }
 
-// A keeper is asked for entries that another one lacks, and loses its disk before it answers. Its empty copy says that
-// nothing was ever there, and the other keeper drops what it still held. Found by seed 244 of the soak.
-BOOST_AUTO_TEST_CASE(a_copy_that_is_being_filled_up_is_no_source_for_others)
+// Entries missing from an uninitialized replica would look forgotten, and keepers caught up from it would drop them.
+BOOST_AUTO_TEST_CASE(an_uninitialized_replica_rejects_reads_until_it_has_caught_up)
 {
     const ThrowingInvariants guard;
     JournalCluster cluster(7);
     JournalCluster::Owner &owner = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(owner));
+    BOOST_REQUIRE(cluster.waitUntilOpen(owner));
     cluster.append(owner, "kept");
     cluster.run(Milliseconds(1000));
     cluster.wipe("keeper-1");
@@ -165,12 +159,12 @@
     BOOST_TEST(filled.entries.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(forgotten_entries_leave_the_disk)
+BOOST_AUTO_TEST_CASE(the_space_of_forgotten_entries_is_reclaimed)
 {
     const ThrowingInvariants guard;
     JournalCluster cluster(6);
     JournalCluster::Owner &owner = cluster.addOwner();
-    BOOST_REQUIRE(cluster.waitOpen(owner));
+    BOOST_REQUIRE(cluster.waitUntilOpen(owner));
     for (int i = 0; i < 400; ++i) {
         cluster.append(owner, std::string(100, 'x'));
         cluster.run(Milliseconds(30));
@@ -182,8 +176,8 @@
     BOOST_TEST(cluster.keepers.at("keeper-1").store->totalBytes() < 20'000U);
 }
 
-// Owners come and go without knowing of each other, keepers crash with torn files, messages are lost, late, doubled
-// and cut one way. Every entry that an owner was told is kept is read by all later owners, at its place.
+// Takeovers, keeper crashes with torn writes, disk losses, lost, delayed and duplicated messages, one-way partitions:
+// every later owner recovers each acknowledged entry at its index.
 BOOST_AUTO_TEST_CASE(acknowledged_entries_survive_random_failures)
 {
     const ThrowingInvariants guard;
@@ -192,49 +186,48 @@
     for (std::uint64_t seed = 1; seed <= seedsInCi; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            JournalStorm storm(seed);
-            storm.wipes = seed % 2 == 0;
-            BOOST_REQUIRE_NO_THROW(storm.run(steps));
-            acknowledged += storm.cluster().acknowledged.size();
-            takeovers += storm.cluster().opened;
+            JournalFaultSimulation simulation(seed);
+            simulation.wipes = seed % 2 == 0;
+            BOOST_REQUIRE_NO_THROW(simulation.run(steps));
+            acknowledged += simulation.cluster().acknowledged.size();
+            takeovers += simulation.cluster().openCount;
         }
     }
     BOOST_TEST(acknowledged > 1000U);
     BOOST_TEST(takeovers > 100U);
 }
 
-BOOST_AUTO_TEST_CASE(the_checker_notices_keepers_that_ignore_seals)
+BOOST_AUTO_TEST_CASE(the_simulation_detects_keepers_that_accept_sealed_epochs)
 {
     const ThrowingInvariants guard;
-    PlantedJournalFaults planted;
-    planted.ignoresSeals = true;
-    BOOST_TEST(isNoticed(planted, false, seedsInCi));
+    InjectedJournalDefects defects;
+    defects.acceptsSealedEpochs = true;
+    BOOST_TEST(isDetected(defects, false, seedsInCi));
 }
 
-BOOST_AUTO_TEST_CASE(the_checker_notices_keepers_that_seal_without_their_disk)
+BOOST_AUTO_TEST_CASE(the_simulation_detects_keepers_that_seal_after_disk_loss)
 {
     const ThrowingInvariants guard;
-    PlantedJournalFaults planted;
-    planted.sealsBlank = true;
-    BOOST_TEST(isNoticed(planted, false, 5 * seedsInCi));
+    InjectedJournalDefects defects;
+    defects.sealsAfterDiskLoss = true;
+    BOOST_TEST(isDetected(defects, false, 5 * seedsInCi));
 }
 
-// An owner was deposed with the promise of a keeper that then lost its disk. Asked again by the old owner, the keeper
-// knows of no promise and confirms; with one more keeper that had not been asked to seal, that makes a quorum, and
-// both owners are told that their entries are kept. Found by seeds 426 and 760 of the soak.
-BOOST_AUTO_TEST_CASE(a_promise_outlives_the_disk_that_held_it)
+// Without its promise, a keeper that lost its disk would accept appends of a deposed owner, which could then reach a
+// quorum together with a keeper that was not sealed.
+BOOST_AUTO_TEST_CASE(promises_survive_the_loss_of_a_disk)
 {
     const ThrowingInvariants guard;
-    for (const bool losesPromises : {false, true}) {
+    for (const bool forgetsPromisesAfterDiskLoss : {false, true}) {
         JournalCluster cluster(8);
         cluster.network.lossShare = 0;
-        cluster.planted.losesPromises = losesPromises;
+        cluster.defects.forgetsPromisesAfterDiskLoss = forgetsPromisesAfterDiskLoss;
         JournalCluster::Owner &old = cluster.addOwner();
-        BOOST_REQUIRE(cluster.waitOpen(old));
+        BOOST_REQUIRE(cluster.waitUntilOpen(old));
         cluster.run(Milliseconds(500));
         cluster.network.cuts.insert({"owner-2", "keeper-3"});
         JournalCluster::Owner &next = cluster.addOwner();
-        BOOST_REQUIRE(cluster.waitOpen(next));
+        BOOST_REQUIRE(cluster.waitUntilOpen(next));
         cluster.network.cuts.insert({"owner-2", "keeper-1"});
         cluster.network.cuts.insert({"owner-1", "keeper-2"});
         cluster.wipe("keeper-1");
@@ -242,14 +235,14 @@
         cluster.append(old, "intent");
         cluster.run(Milliseconds(2000));
         const bool isConfirmed = old.writer->commitIndex() > before;
-        BOOST_TEST(isConfirmed == losesPromises);
+        BOOST_TEST(isConfirmed == forgetsPromisesAfterDiskLoss);
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_checker_notices_keepers_that_do_not_sync)
+BOOST_AUTO_TEST_CASE(the_simulation_detects_keepers_that_do_not_sync)
 {
     const ThrowingInvariants guard;
-    BOOST_TEST(isNoticed({}, true, seedsInCi));
+    BOOST_TEST(isDetected({}, true, seedsInCi));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/support/cp_journal_cluster.hpp
+++ b/tests/support/cp_journal_cluster.hpp
@@ -9,17 +9,17 @@
 namespace cardamompost::tests
 {
 
-//! Faults that are planted to see that the checker notices them.
-struct PlantedJournalFaults {
-    //! Keepers accept what comes from a sealed epoch.
-    bool ignoresSeals = false;
-    //! A keeper that lost its disk seals as if it were new.
-    bool sealsBlank = false;
-    //! A keeper that lost its disk takes entries from an epoch that it had promised to refuse.
-    bool losesPromises = false;
+//! Defects injected to test that the simulation detects them.
+struct InjectedJournalDefects {
+    //! Keepers accept appends of sealed epochs.
+    bool acceptsSealedEpochs = false;
+    //! A keeper that has lost its disk seals as if it were new.
+    bool sealsAfterDiskLoss = false;
+    //! A keeper that has lost its disk accepts appends of epochs that it had promised to reject.
+    bool forgetsPromisesAfterDiskLoss = false;
 };
 
-//! Keepers with disks, and owners of one partition that come one after another without the earlier ones knowing.
+//! Keepers and successive owners of one partition on a simulated network; owners get no notice of a takeover.
 class JournalCluster
 {
 public:
@@ -55,7 +55,7 @@
         }
         Result<LogStore> store = LogStore::open(vm.files, {2048, 0.6});
         if (!store) {
-            throw Violation("the store does not open: " + store.error().message);
+            throw Violation("cannot open the store: " + store.error().message);
         }
         vm.store = std::make_unique<LogStore>(std::move(store.value()));
         vm.keeper = std::make_unique<JournalKeeper>(*vm.store);
@@ -77,10 +77,10 @@
         start(name);
         LogBatch batch;
         JournalKeeper::markUninitialized(batch);
-        const Epoch newest = owners.empty() ? 0 : owners.rbegin()->first;
-        JournalKeeper::restorePromises({planted.losesPromises ? 0 : newest}, batch);
-        if (!planted.sealsBlank && !vm.store->write(batch)) {
-            throw Violation("the new disk can't be written");
+        const Epoch newestEpoch = owners.empty() ? 0 : owners.rbegin()->first;
+        JournalKeeper::restorePromises({defects.forgetsPromisesAfterDiskLoss ? 0 : newestEpoch}, batch);
+        if (!defects.sealsAfterDiskLoss && !vm.store->write(batch)) {
+            throw Violation("cannot write to the replacement disk");
         }
         for (auto &[epoch, owner] : owners) {
             owner->writer->invalidateMatch(name);
@@ -109,11 +109,11 @@
     {
         if (owner.writer->phase() == JournalPhase::Open) {
             owner.written[owner.writer->append(payload)] = payload;
-            pump(owner);
+            advance(owner);
         }
     }
 
-    //! Tells the keepers that an acknowledged entry is not needed any more.
+    //! Lets the keepers discard an acknowledged entry.
     void forget(Owner &owner, LogIndex index)
     {
         forgotten.insert(index);
@@ -134,7 +134,7 @@
         network.runUntil(network.now + time);
     }
 
-    bool waitOpen(Owner &owner, Milliseconds limit = Milliseconds(10'000))
+    bool waitUntilOpen(Owner &owner, Milliseconds limit = Milliseconds(10'000))
     {
         const TimePoint end = network.now + limit;
         while (network.now < end && owner.writer->phase() != JournalPhase::Open) {
@@ -144,15 +144,15 @@
     }
 
     FakeNetwork network;
-    PlantedJournalFaults planted;
+    InjectedJournalDefects defects;
     std::vector<VmName> names;
     std::map<VmName, KeeperVm> keepers;
     std::map<Epoch, std::unique_ptr<Owner>> owners;
-    //! What owners were told is kept: index and payload.
+    //! Payloads of the entries that were acknowledged to an owner, by index.
     std::map<LogIndex, std::string> acknowledged;
     std::map<LogIndex, Epoch> acknowledgedBy;
     std::set<LogIndex> forgotten;
-    std::size_t opened = 0;
+    std::size_t openCount = 0;
 
 private:
     void scheduleTick(Epoch epoch)
@@ -163,15 +163,15 @@
                 return;
             }
             owner.writer->tick(network.now);
-            pump(owner);
+            advance(owner);
             scheduleTick(epoch);
         });
     }
 
-    void pump(Owner &owner)
+    void advance(Owner &owner)
     {
         for (JournalRequest &request : owner.writer->takeRequests(network.now)) {
-            deliver(owner, std::move(request));
+            sendRequest(owner, std::move(request));
         }
         JournalWriter::Recovered recovered = owner.writer->takeRecovered();
         if (recovered.generation != owner.generation) {
@@ -179,16 +179,16 @@
             owner.recovered.clear();
         }
         owner.recovered.insert(owner.recovered.end(), recovered.entries.begin(), recovered.entries.end());
-        check(owner);
+        verify(owner);
     }
 
-    void check(Owner &owner)
+    void verify(Owner &owner)
     {
         const JournalPhase phase = owner.writer->phase();
         if (phase == JournalPhase::Open && !owner.hasOpened) {
             owner.hasOpened = true;
-            ++opened;
-            checkRecovered(owner);
+            ++openCount;
+            verifyRecovered(owner);
         }
         if (phase != JournalPhase::Open) {
             return;
@@ -199,38 +199,39 @@
                 const auto [place, isNew] = acknowledged.emplace(written->first, written->second);
                 acknowledgedBy.emplace(written->first, owner.writer->epoch());
                 if (!isNew && place->second != written->second) {
-                    throw Violation("two owners were told of different entries at one index");
+                    throw Violation("two owners have different acknowledged entries at the same index");
                 }
             }
         }
     }
 
-    void checkRecovered(const Owner &owner)
+    void verifyRecovered(const Owner &owner)
     {
         std::map<LogIndex, std::string> found;
         LogIndex before = 0;
         for (const LogEntry &entry : owner.recovered) {
             if (entry.index <= before) {
-                throw Violation("recovered entries are not in order");
+                throw Violation("recovered entries are out of order");
             }
             before = entry.index;
             found[entry.index] = entry.payload;
         }
         for (const auto &[index, payload] : acknowledged) {
-            // An owner may hear of its quorum only after a later one has opened; it knows nothing of that one's
-            // entries, and gets none of its own confirmed any more.
+            // The seal replies may reach an owner after a later one has opened. It lacks the entries of that epoch,
+            // and can commit none of its own.
             if (acknowledgedBy.at(index) > owner.writer->epoch()) {
                 continue;
             }
             const auto entry = found.find(index);
             const bool isMissing = entry == found.end() && !forgotten.contains(index);
             if (isMissing || (entry != found.end() && entry->second != payload)) {
-                throw Violation(fmt::format("epoch {} lacks the acknowledged entry {}", owner.writer->epoch(), index));
+                throw Violation(fmt::format("epoch {} did not recover the acknowledged entry at index {}",
+                                            owner.writer->epoch(), index));
             }
         }
     }
 
-    void deliver(Owner &owner, JournalRequest request)
+    void sendRequest(Owner &owner, JournalRequest request)
     {
         const Epoch epoch = owner.writer->epoch();
         const VmName from = "owner-" + std::to_string(epoch);
@@ -240,26 +241,26 @@
             if (!vm.keeper) {
                 return;
             }
-            const std::optional<JournalReplyBody> reply = answer(vm, request);
+            const std::optional<JournalReplyBody> reply = handleRequest(vm, request);
             if (!reply) {
                 return;
             }
             network.send(keeper, from, [this, epoch, keeper, id = request.id, reply = *reply] {
                 Owner &target = *owners.at(epoch);
                 target.writer->onReply(network.now, keeper, id, reply);
-                pump(target);
+                advance(target);
             });
         });
     }
 
-    std::optional<JournalReplyBody> answer(KeeperVm &vm, const JournalRequest &request)
+    std::optional<JournalReplyBody> handleRequest(KeeperVm &vm, const JournalRequest &request)
     {
         LogBatch batch;
         std::optional<JournalReplyBody> reply;
         if (const auto *seal = std::get_if<SealRequest>(&request.body)) {
             reply = vm.keeper->seal(*seal, batch);
         } else if (const auto *append = std::get_if<JournalAppend>(&request.body)) {
-            reply = vm.keeper->append(liftEpoch(vm, *append), batch);
+            reply = vm.keeper->append(raiseSealedEpoch(vm, *append), batch);
         } else {
             Result<JournalReadReply> read = vm.keeper->read(std::get<JournalRead>(request.body));
             if (!read) {
@@ -274,10 +275,10 @@
         return reply;
     }
 
-    JournalAppend liftEpoch(const KeeperVm &vm, JournalAppend append) const
+    JournalAppend raiseSealedEpoch(const KeeperVm &vm, JournalAppend append) const
     {
         const RaftHardState &hard = vm.store->group(journalGroup(0)).hard;
-        if (planted.ignoresSeals && append.epoch < hard.term) {
+        if (defects.acceptsSealedEpochs && append.epoch < hard.term) {
             append.epoch = hard.term;
             append.owner = hard.votedFor;
         }
--- a/tests/support/cp_journal_storm.hpp
+++ b/tests/support/cp_journal_fault_simulation.hpp
@@ -1,17 +1,17 @@
-#ifndef CARDAMOMPOST_TESTS_CP_JOURNAL_STORM_HPP_INCLUDED
-#define CARDAMOMPOST_TESTS_CP_JOURNAL_STORM_HPP_INCLUDED
+#ifndef CARDAMOMPOST_TESTS_CP_JOURNAL_FAULT_SIMULATION_HPP_INCLUDED
+#define CARDAMOMPOST_TESTS_CP_JOURNAL_FAULT_SIMULATION_HPP_INCLUDED
 
 #include "cp_journal_cluster.hpp"
 
 namespace cardamompost::tests
 {
 
-//! Breaks things at random around one partition's journal, and ends with an owner that must read all that was
-//! acknowledged. Throws Violation.
-class JournalStorm
+//! Injects random faults into one partition's journal, then lets it recover and checks that a new owner recovers all
+//! acknowledged entries. Throws Violation.
+class JournalFaultSimulation
 {
 public:
-    explicit JournalStorm(std::uint64_t seed)
+    explicit JournalFaultSimulation(std::uint64_t seed)
         : cluster_(seed)
     {
         cluster_.addOwner();
@@ -25,43 +25,44 @@
     void run(int steps)
     {
         for (int step = 0; step < steps; ++step) {
-            breakSomething();
-            writeSomething(step);
+            injectRandomFault();
+            appendAndForget(step);
             cluster_.run(Milliseconds(30));
         }
-        settle();
+        recoverAndVerify();
     }
 
     //! Keepers also lose their disks, one at a time.
     bool wipes = false;
 
 private:
-    VmName anyKeeper()
+    VmName randomKeeper()
     {
         return cluster_.names[cluster_.network.random() % cluster_.names.size()];
     }
 
-    VmName anyOwner()
+    VmName newestOwnerName()
     {
         return "owner-" + std::to_string(cluster_.owners.rbegin()->first);
     }
 
-    void breakSomething()
+    void injectRandomFault()
     {
         FakeNetwork &network = cluster_.network;
         if (network.chance(0.03)) {
             cluster_.addOwner();
         }
         if (network.chance(0.04)) {
-            const VmName name = anyKeeper();
+            const VmName name = randomKeeper();
             cluster_.keepers.at(name).keeper ? cluster_.crash(name) : cluster_.start(name);
         } else if (network.chance(0.04)) {
-            const VmName keeper = anyKeeper();
-            network.chance(0.5) ? network.cuts.insert({keeper, anyOwner()}) : network.cuts.insert({anyOwner(), keeper});
+            const VmName keeper = randomKeeper();
+            network.chance(0.5) ? network.cuts.insert({keeper, newestOwnerName()})
+                                : network.cuts.insert({newestOwnerName(), keeper});
         } else if (network.chance(0.08)) {
             network.cuts.clear();
         } else if (wipes && network.chance(0.02)) {
-            wipeIfComplete();
+            wipeIfRepaired();
         }
         for (const VmName &name : cluster_.names) {
             if (!cluster_.keepers.at(name).keeper && network.chance(0.1)) {
@@ -70,8 +71,8 @@
         }
     }
 
-    //! Only when the copy that was lost last is whole again: one lost disk at a time is what three copies stand.
-    void wipeIfComplete()
+    //! Only after the last wiped keeper has caught up: three replicas tolerate the loss of one disk at a time.
+    void wipeIfRepaired()
     {
         const JournalWriter &writer = *cluster_.owners.rbegin()->second->writer;
         const bool isOpen = writer.phase() == JournalPhase::Open;
@@ -79,12 +80,12 @@
         const auto isInitialized
             = [](const auto &item) { return item.second.keeper != nullptr && !item.second.keeper->isUninitialized(0); };
         if (isOpen && isRepaired && std::all_of(cluster_.keepers.begin(), cluster_.keepers.end(), isInitialized)) {
-            lastWiped_ = anyKeeper();
+            lastWiped_ = randomKeeper();
             cluster_.wipe(lastWiped_);
         }
     }
 
-    void writeSomething(int step)
+    void appendAndForget(int step)
     {
         for (auto &[epoch, owner] : cluster_.owners) {
             if (cluster_.network.chance(0.5)) {
@@ -98,7 +99,7 @@
         }
     }
 
-    void settle()
+    void recoverAndVerify()
     {
         cluster_.network.cuts.clear();
         cluster_.network.lossShare = 0;
@@ -106,8 +107,8 @@
             cluster_.start(name);
         }
         JournalCluster::Owner &last = cluster_.addOwner();
-        if (!cluster_.waitOpen(last, Milliseconds(30'000))) {
-            throw Violation("the last owner does not open the journal");
+        if (!cluster_.waitUntilOpen(last, Milliseconds(30'000))) {
+            throw Violation("the last owner cannot open the journal");
         }
     }
 
