--- a/include/cardamompost/net/cp_api_message.hpp
+++ b/include/cardamompost/net/cp_api_message.hpp
@@ -10,7 +10,7 @@
 namespace cardamompost
 {
 
-//! What a caller asks of a program's owner.
+//! Operation that a caller requests from the owner of a program.
 enum class ApiOperation : std::uint8_t {
     CreateProgram,
     GetProgram,
@@ -18,41 +18,41 @@
     GetHistory,
     SubmitCall,
     FetchCall,
-    //! A call that brings its own program of one call.
+    //! A call without an existing program; it runs in a program of its own.
     SingleCall,
     Explain,
-    //! Between VMs: whether a program that an engine holds something for is gone.
+    //! Between VMs: asks whether a program that an engine still holds state for has ended.
     CheckHold,
 };
 
-//! In which form an answer is written.
+//! Format of the response.
 enum class ApiForm : std::uint8_t {
     Native,
-    //! As the OpenAI chat completions interface gives it.
+    //! The response format of the OpenAI chat completions API.
     ChatCompletion,
 };
 
-//! A caller's request, checked at the entry and on its way to the owner of the program.
+//! A caller's request, validated by the entry and forwarded to the owner of the program.
 struct ApiRequest {
     ApiOperation operation = ApiOperation::GetProgram;
     std::string caller;
     ProgramId program;
     std::uint32_t sequence = 0;
     std::string idempotencyKey;
-    //! Events up to this one have reached the caller.
+    //! Id of the last event that the caller has received.
     std::uint64_t lastEventId = 0;
     bool isStream = false;
     ApiForm form = ApiForm::Native;
-    //! For a single call: the class that its caller asks for; empty for the first that it may use.
+    //! For a single call: the requested work class; empty selects the first class that the caller may use.
     std::string workClass;
-    //! Set when the entry refuses the request: the owner keeps the refusal for the request's key, unless a copy of it
-    //! was accepted before.
+    //! Set when the entry refuses the request: the owner stores the refusal under the idempotency key, unless a
+    //! duplicate was already accepted.
     std::optional<Error> refusal;
     //! JSON.
     std::string body;
 };
 
-//! Asks for permission to take calls of a caller, from the VM that gives it out for all.
+//! Requests call permits for a caller from the VM that allocates them for all VMs.
 struct LimitRequest {
     std::string caller;
     std::uint32_t wanted = 0;
@@ -60,15 +60,15 @@
 
 struct LimitReply {
     std::uint32_t granted = 0;
-    //! When there will be more.
+    //! Time until more permits are available.
     std::uint32_t retryAfterMs = 0;
 };
 
-//! A piece of the answer. The first carries the status; a whole answer may be one piece.
+//! A chunk of the response. The first one carries the status; a response may consist of a single chunk.
 struct ApiChunk {
     unsigned status = 0;
     std::optional<Outcome> outcome;
-    //! Position of the last event in the body; 0 where there are no events.
+    //! Id of the last event in the body; 0 without events.
     std::uint64_t eventId = 0;
     std::string body;
     bool isLast = false;
--- a/include/cardamompost/net/cp_async_queue.hpp
+++ b/include/cardamompost/net/cp_async_queue.hpp
@@ -15,10 +15,10 @@
 namespace cardamompost
 {
 
-//! A queue that any thread fills and one coroutine empties.
+//! Multi-producer queue with a single consumer coroutine. push() may be called from any thread.
 //!
-//! The coroutine's executor has to be a strand: the wake-up is posted there, so it can't come between the
-//! coroutine's look at the queue and the start of its wait.
+//! The coroutine's executor must be a strand: the wake-up is posted to it and so cannot run between the check for an
+//! item and the start of the wait.
 template<typename T>
 class AsyncQueue : public std::enable_shared_from_this<AsyncQueue<T>>
 {
@@ -37,7 +37,7 @@
         boost::asio::post(timer_.get_executor(), [self = this->shared_from_this()] { self->timer_.cancel(); });
     }
 
-    //! The next item; nothing when none came in time.
+    //! \returns the next item, or nullopt on timeout
     boost::asio::awaitable<std::optional<T>> pop(std::chrono::milliseconds timeout)
     {
         std::optional<T> item = tryPop();
--- a/include/cardamompost/net/cp_await.hpp
+++ b/include/cardamompost/net/cp_await.hpp
@@ -16,15 +16,15 @@
 namespace cardamompost
 {
 
-//! Suspends a coroutine until a callback is called with a value.
+//! Suspends a coroutine until a callback is invoked, and returns the callback's argument.
 //!
-//! \param start  called at once with the callback, a std::function<void(T)> to be called exactly once from any thread
+//! \param start  called immediately with a std::function<void(T)>, which must be invoked exactly once, from any thread
 template<typename T, typename Start>
 boost::asio::awaitable<T> awaitCallback(Start start)
 {
     const auto initiate = [](auto handler, Start begin) {
         using Handler = decltype(handler);
-        // std::function needs a copyable target, and the coroutine's handler can only be moved.
+        // std::function needs a copyable target, but the handler is move-only.
         auto shared = std::make_shared<Handler>(std::move(handler));
         begin(std::function<void(T)>([shared](T value) {
             const auto executor = boost::asio::get_associated_executor(*shared);
@@ -36,7 +36,6 @@
         initiate, boost::asio::use_awaitable, std::move(start));
 }
 
-//! Suspends a coroutine for a time.
 inline boost::asio::awaitable<void> sleepFor(std::chrono::milliseconds time)
 {
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor, time);
--- a/include/cardamompost/net/cp_frame.hpp
+++ b/include/cardamompost/net/cp_frame.hpp
@@ -13,21 +13,21 @@
 namespace cardamompost
 {
 
-//! What a frame is to the connection that carries it.
+//! Role of a frame in the request/response protocol.
 enum class FrameKind : std::uint8_t {
     Ping,
     Pong,
-    //! Without a reply.
+    //! A message without a reply.
     OneWay,
     Request,
     //! More replies follow.
     Reply,
     LastReply,
-    //! Nobody waits for the replies of a request any more.
+    //! The sender of a request discards any further replies.
     Cancel,
 };
 
-//! A command for the control log, as encodeCommand() made it.
+//! A command for the control log, encoded by encodeCommand().
 struct ProposeRequest {
     std::string command;
 };
@@ -45,23 +45,23 @@
                    TurnFinishReply, UpdateRequest, UpdateReply, Presence, TurnTextsRequest, TurnTextsReply,
                    LeaderNotice, AdmitRequest, AdmitReply>;
 
-//! One message on a connection between two of the system's processes.
+//! One message on a connection between two peers.
 struct Frame {
-    //! Matches replies to their request on one connection.
+    //! Correlates replies with their request on one connection.
     std::uint64_t id = 0;
     FrameKind kind = FrameKind::Ping;
-    //! Time left to the sender when it sent the frame; 0 for none.
+    //! Time left until the sender's deadline when the frame was sent; 0 for no deadline.
     std::uint32_t deadlineMs = 0;
     FrameBody body;
 };
 
-//! Longest frame that is sent or accepted, without its length.
+//! Maximum size of a frame, without the length prefix.
 inline constexpr std::size_t maxFrameBytes = 64U << 20U;
 
-//! Bytes of a frame, without its length.
+//! Encodes a frame, without the length prefix.
 [[nodiscard]] std::string encodeFrame(const Frame &frame);
 
-//! Errors: InvalidRequest for anything that is not a frame.
+//! Errors: InvalidRequest for a malformed frame.
 [[nodiscard]] Result<Frame> decodeFrame(std::string_view bytes);
 
 } // namespace cardamompost
--- a/include/cardamompost/net/cp_http_client.hpp
+++ b/include/cardamompost/net/cp_http_client.hpp
@@ -15,7 +15,7 @@
 namespace cardamompost
 {
 
-//! A request to a server outside the system.
+//! A request to an external HTTP server.
 struct HttpCall {
     Address address;
     std::string method = "GET";
@@ -23,32 +23,32 @@
     std::string target;
     HttpHeaders headers;
     std::string body;
-    //! For the whole answer, or until its first byte for a stream.
+    //! Limit for the whole response, or until the first byte of a stream.
     Milliseconds timeout {10'000};
-    //! Longest silence within a stream.
+    //! Maximum time between two reads of a stream.
     Milliseconds stallTimeout {10'000};
-    //! False takes a connection of its own: on one that was kept the server may have closed its end, and then
-    //! nobody can tell whether it took the request.
+    //! False opens a new connection. The server may have closed a pooled one, and then it is unknown whether it
+    //! received the request.
     bool reuseConnection = true;
 };
 
-//! Sends HTTP/1.1 requests and keeps connections for the next ones. Thread-safe.
+//! HTTP/1.1 client with a connection pool. Thread-safe.
 class HttpClient
 {
 public:
-    //! Called with each part of a stream's body. False ends it.
+    //! Called with each part of a stream's body. Returning false stops the stream.
     using DataHandler = std::function<bool(std::string_view bytes)>;
 
-    explicit HttpClient(std::size_t keptPerAddress = 64);
+    explicit HttpClient(std::size_t maxIdlePerAddress = 64);
     ~HttpClient();
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    //! The whole answer, whatever its status. Errors: BackendFailed, with outcome NotRun when the request was not
+    //! Returns the whole response, for any status. Errors: BackendFailed, with outcome NotRun when the request was not
     //! sent; DeadlineExceeded.
     boost::asio::awaitable<Result<HttpResponse>> request(HttpCall call);
-    //! Hands an answer on as it comes when its status is 200; otherwise returns it whole. Errors as request(), also
-    //! for an answer that ends before its end.
+    //! Passes the body to onData as it arrives when the status is 200; otherwise returns the whole response. Errors as
+    //! for request(), also for a truncated response.
     boost::asio::awaitable<Result<HttpResponse>> stream(HttpCall call, DataHandler onData);
 
     struct Connection;
@@ -56,7 +56,7 @@
 private:
     boost::asio::awaitable<Result<std::unique_ptr<Connection>>> connect(const HttpCall &call);
     boost::asio::awaitable<Result<HttpResponse>> exchange(Connection &connection, HttpCall &call, DataHandler &onData);
-    void keep(const Address &address, std::unique_ptr<Connection> connection);
+    void returnToPool(const Address &address, std::unique_ptr<Connection> connection);
 
     struct Pool;
     std::unique_ptr<Pool> pool_;
--- a/include/cardamompost/net/cp_http_message.hpp
+++ b/include/cardamompost/net/cp_http_message.hpp
@@ -11,7 +11,7 @@
 namespace cardamompost
 {
 
-//! Orders header names without regard to case.
+//! Case-insensitive ordering of header names.
 struct HeaderNameLess {
     using is_transparent = void;
 
@@ -42,7 +42,7 @@
     }
 };
 
-//! An answer with its whole body.
+//! A response with its whole body.
 struct HttpResponse {
     unsigned status = 200;
     HttpHeaders headers;
@@ -55,10 +55,10 @@
     }
 };
 
-//! Splits "path?query" and decodes both.
+//! Splits "path?query" and percent-decodes both parts.
 void splitTarget(std::string_view target, HttpRequest &request);
 
-//! The parts of a path between its slashes.
+//! Splits a path into its non-empty segments.
 [[nodiscard]] std::vector<std::string_view> splitPath(std::string_view path);
 
 } // namespace cardamompost
--- a/include/cardamompost/net/cp_http_server.hpp
+++ b/include/cardamompost/net/cp_http_server.hpp
@@ -16,23 +16,23 @@
 namespace cardamompost
 {
 
-//! Writes the answer to one request: either respond(), or begin(), any number of write() and end().
+//! Writes the response to one request: either respond(), or begin(), any number of write() and end().
 class IHttpResponder
 {
 public:
     virtual ~IHttpResponder() = default;
 
     virtual boost::asio::awaitable<void> respond(HttpResponse response) = 0;
-    //! Starts an answer of unknown length. False: the client is gone.
+    //! Starts a chunked response. \returns false when the client has disconnected
     virtual boost::asio::awaitable<bool> begin(unsigned status, HttpHeaders headers) = 0;
     virtual boost::asio::awaitable<bool> write(std::string bytes) = 0;
-    //! Ends it; the trailers have to be announced by a header "Trailer".
+    //! Ends a chunked response; a "Trailer" header must announce the trailers.
     virtual boost::asio::awaitable<void> end(HttpHeaders trailers) = 0;
-    //! Breaks the connection off, so that a client can't take a cut answer for a whole one.
+    //! Closes the connection without the final chunk, so that the client detects a truncated response.
     virtual void abort() = 0;
 };
 
-//! Bounds on what a client may send, and how slowly.
+//! Limits on sizes, timeouts and the number of connections.
 struct HttpLimits {
     std::uint32_t headerBytes = 16U << 10U;
     std::uint64_t bodyBytes = 4U << 20U;
@@ -43,19 +43,20 @@
     int connections = 20'000;
 };
 
-//! HTTP/1.1 over TCP. Each connection has a strand of its own, on which the handler runs.
+//! HTTP/1.1 server over TCP. Each connection has its own strand, on which the handler runs.
 class HttpServer
 {
 public:
     using Handler = std::function<boost::asio::awaitable<void>(HttpRequest &request, IHttpResponder &responder)>;
-    //! Makes the answer to a request that can't be read.
+    //! Creates the response to a request that cannot be parsed.
     using ErrorHandler = std::function<HttpResponse(const Error &error)>;
 
     HttpServer(boost::asio::any_io_executor executor, HttpLimits limits, Handler handler, ErrorHandler errorHandler);
 
-    //! Errors: InvalidConfiguration when the address can't be used.
+    //! Errors: InvalidConfiguration when the address cannot be bound.
     Result<void> listen(const Address &address);
-    //! Takes no more connections; those that are open go on until they are idle.
+    //! Stops accepting connections. Open ones are closed after their current request, idle ones after their next
+    //! request or the idle timeout.
     void stopAccepting();
     [[nodiscard]] int openConnections() const
     {
--- a/include/cardamompost/net/cp_peer_client.hpp
+++ b/include/cardamompost/net/cp_peer_client.hpp
@@ -24,33 +24,33 @@
 
 class FrameConnection;
 
-//! Requests to one other process of the system, over one connection that is made when it is needed.
+//! Sends requests to one peer over a single connection, which is opened on demand.
 //!
-//! While a reply is due and nothing arrives, the connection is pinged; one that stays silent is closed, its requests
-//! fail with PeerLost, and the next request gets a new connection.
+//! While requests are pending, an idle connection is pinged. A connection that stays silent is closed, its requests
+//! fail with PeerLost, and the next request opens a new one.
 //! Thread-safety: all functions from any thread; handlers run on the client's strand and must not block.
 class PeerClient : public std::enable_shared_from_this<PeerClient>
 {
 public:
-    //! Called for each reply; after a last one, or an error, never again.
+    //! Called for each reply; the last reply, or an error, is the final call.
     using ReplyHandler = std::function<void(Result<FrameBody> reply, bool isLast)>;
 
     PeerClient(boost::asio::any_io_executor executor, Address address, std::shared_ptr<boost::asio::ssl::context> tls,
                PeerTraffic &traffic);
 
-    //! The time-out begins anew with each reply that is not the last.
-    //! Errors to the handler: PeerLost (it may have been received), DeadlineExceeded.
+    //! Each reply but the last restarts the timeout.
+    //! Errors passed to the handler: PeerLost (the peer may have received the request), DeadlineExceeded.
     //! \returns the request's id, for cancel()
     std::uint64_t request(FrameBody body, Milliseconds timeout, ReplyHandler handler);
     //! As request(), for a single reply.
     boost::asio::awaitable<Result<FrameBody>> call(FrameBody body, Milliseconds timeout);
-    //! Sends a message without a reply; it is dropped when no connection can be made.
+    //! Sends a message without a reply; it is dropped when the connection cannot be opened.
     void notify(FrameBody body);
-    //! Tells the other process that nobody waits for a request any more; its handler is not called again.
+    //! Cancels a request at the peer; its handler is not called again.
     void cancel(std::uint64_t id);
-    //! Gives up the connection, as one that may be silent for good; the next message gets a new one.
+    //! Closes the connection and fails its requests; the next message opens a new one.
     void reopen();
-    //! Closes the connection; requests under way fail.
+    //! Closes the connection; pending requests fail.
     void close();
 
 private:
@@ -69,8 +69,7 @@
     void failAll(const Error &error);
     void scheduleCheck();
     void check();
-    //! Hands its error to every request that is overdue. \returns true when the connection is silent for good, as it
-    //! seems
+    //! Fails every request past its deadline. \returns true when the connection appears to be dead
     bool expireOverdue(TimePoint now);
 
     boost::asio::any_io_executor strand_;
@@ -79,7 +78,7 @@
     PeerTraffic &traffic_;
     std::shared_ptr<FrameConnection> connection_;
     bool isConnecting_ = false;
-    std::vector<Frame> waiting_;
+    std::vector<Frame> queuedFrames_;
     std::map<std::uint64_t, Pending> pending_;
     boost::asio::steady_timer timer_;
     bool isChecking_ = false;
--- a/include/cardamompost/net/cp_peer_server.hpp
+++ b/include/cardamompost/net/cp_peer_server.hpp
@@ -24,14 +24,14 @@
 
 class FrameConnection;
 
-//! Where a request's replies go; from any thread. Shared by whoever still has to reply.
+//! Sends the replies to one request. Thread-safe.
 class PeerReplier
 {
 public:
     PeerReplier(std::shared_ptr<FrameConnection> connection, std::uint64_t id);
 
     void reply(FrameBody body, bool isLast = true);
-    //! Nobody waits for a reply any more.
+    //! True when the request was cancelled or its connection is closed.
     [[nodiscard]] bool isCancelled() const;
     void cancel()
     {
@@ -44,7 +44,7 @@
     std::atomic<bool> isCancelled_ {false};
 };
 
-//! Takes requests from the system's other processes.
+//! Accepts connections and requests from peers.
 class PeerServer
 {
 public:
@@ -55,7 +55,7 @@
     PeerServer(boost::asio::any_io_executor executor, std::shared_ptr<boost::asio::ssl::context> tls,
                PeerTraffic &traffic, RequestHandler handler);
 
-    //! Errors: InvalidConfiguration when the address can't be used.
+    //! Errors: InvalidConfiguration when the address cannot be bound.
     Result<void> listen(const Address &address);
     void close();
 
--- a/include/cardamompost/net/cp_peer_tls.hpp
+++ b/include/cardamompost/net/cp_peer_tls.hpp
@@ -14,16 +14,16 @@
 namespace cardamompost
 {
 
-//! Files, in PEM form, that prove a process to the others of its system.
+//! PEM files for mutual TLS between peers.
 struct PeerTlsFiles {
     std::string certificate;
     std::string key;
-    //! The authority that signed the certificates of all processes.
+    //! Certificate of the authority that signed the certificates of all peers.
     std::string authority;
 };
 
-//! A context for both sides of a connection between processes; each side must show a certificate of the authority.
-//! Errors: InvalidConfiguration with the file that can't be used.
+//! Creates a TLS context for both sides of a peer connection; each side must present a certificate signed by the
+//! authority. Errors: InvalidConfiguration, naming the file that cannot be used.
 [[nodiscard]] Result<std::shared_ptr<boost::asio::ssl::context>> makePeerTls(const PeerTlsFiles &files);
 
 } // namespace cardamompost
--- a/include/cardamompost/net/cp_peer_traffic.hpp
+++ b/include/cardamompost/net/cp_peer_traffic.hpp
@@ -7,7 +7,7 @@
 namespace cardamompost
 {
 
-//! Bytes of frames that a process has exchanged with the others of its system, without TCP's own.
+//! Bytes of frames exchanged with peers, without TCP and TLS overhead.
 struct PeerTraffic {
     std::atomic<std::uint64_t> sent {0};
     std::atomic<std::uint64_t> received {0};
--- a/include/cardamompost/net/cp_sse_parser.hpp
+++ b/include/cardamompost/net/cp_sse_parser.hpp
@@ -11,30 +11,30 @@
 
 //! One event of a text/event-stream.
 struct SseEvent {
-    //! 0 when the event has none, or none that is a number.
+    //! 0 when the event has no numeric id.
     std::uint64_t id = 0;
     std::string name;
     std::string data;
 };
 
-//! Splits a text/event-stream into events, however it is cut into pieces.
+//! Incremental parser for text/event-stream; accepts chunks of any size.
 class SseParser
 {
 public:
-    //! False stops the work on the stream.
+    //! Returning false stops the parser.
     using Handler = std::function<bool(const SseEvent &event)>;
 
-    //! \returns false once the handler has
+    //! \returns false when the handler returned false
     bool feed(std::string_view bytes, const Handler &handler);
 
 private:
-    bool takeLine(std::string_view line, const Handler &handler);
+    bool parseLine(std::string_view line, const Handler &handler);
 
-    std::string partial_;
+    std::string partialLine_;
     SseEvent event_;
 };
 
-//! Text of an event; the data must not hold a line feed.
+//! Formats an event; the data must not contain a line feed.
 [[nodiscard]] std::string formatSse(std::uint64_t id, std::string_view name, std::string_view data);
 
 } // namespace cardamompost
--- a/src/cardamompost/net/cp_frame.cpp
+++ b/src/cardamompost/net/cp_frame.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-// The first byte of a frame says how the rest is encoded. Packing pays for the many small messages, and only costs
-// time for the few large ones.
-constexpr char packedMark = 'p';
-constexpr char flatMark = 'f';
+// The first byte of a frame is its encoding. Small messages are packed; for large ones packing costs more time than it
+// saves.
+constexpr char packedEncoding = 'p';
+constexpr char flatEncoding = 'f';
 constexpr std::size_t maxPackedWords = 256;
 
 Frame decodeFrameMessage(schema::Frame::Reader in)
@@ -37,18 +37,19 @@
     out.setDeadlineMs(frame.deadlineMs);
     encodeBody(frame.body, out.getBody());
     const bool isSmall = message.sizeInWords() <= maxPackedWords;
-    return isSmall ? std::string(1, packedMark) + toPackedBytes(message) : std::string(1, flatMark) + toBytes(message);
+    return isSmall ? std::string(1, packedEncoding) + toPackedBytes(message)
+                   : std::string(1, flatEncoding) + toBytes(message);
 }
 
 Result<Frame> decodeFrame(std::string_view bytes)
 {
-    const char mark = bytes.empty() ? '\0' : bytes.front();
-    if (mark != packedMark && mark != flatMark) {
-        return makeError(ErrorKind::InvalidRequest, "a frame begins with neither of the known marks");
+    const char tag = bytes.empty() ? '\0' : bytes.front();
+    if (tag != packedEncoding && tag != flatEncoding) {
+        return makeError(ErrorKind::InvalidRequest, "unknown frame encoding");
     }
     bytes.remove_prefix(1);
     try {
-        if (mark == flatMark) {
+        if (tag == flatEncoding) {
             AlignedMessage message(bytes);
             return decodeFrameMessage(message.root<schema::Frame>());
         }
@@ -56,8 +57,7 @@
         capnp::PackedMessageReader message(input, readerOptions());
         return decodeFrameMessage(message.getRoot<schema::Frame>());
     } catch (const kj::Exception &error) {
-        return makeError(ErrorKind::InvalidRequest,
-                         std::string("a frame can't be read: ") + error.getDescription().cStr());
+        return makeError(ErrorKind::InvalidRequest, std::string("malformed frame: ") + error.getDescription().cStr());
     }
 }
 
--- a/src/cardamompost/net/cp_frame_body.hpp
+++ b/src/cardamompost/net/cp_frame_body.hpp
@@ -8,10 +8,9 @@
 namespace cardamompost
 {
 
-//! Writes a body into the union of a frame's message.
 void encodeBody(const FrameBody &body, schema::Frame::Body::Builder out);
 
-//! Reads it; throws kj::Exception for a message that can't be read.
+//! \throws kj::Exception for a malformed message
 [[nodiscard]] FrameBody decodeBody(schema::Frame::Body::Reader in);
 
 } // namespace cardamompost
--- a/src/cardamompost/net/cp_frame_connection.cpp
+++ b/src/cardamompost/net/cp_frame_connection.cpp
@@ -22,8 +22,8 @@
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t maxQueuedBytes = 128U << 20U;
 constexpr std::size_t maxWriteBytes = 1U << 20U;
-constexpr std::size_t readBytes = 16U << 10U;
-constexpr int userTimeoutMs = 3000;
+constexpr std::size_t readBufferBytes = 16U << 10U;
+constexpr int tcpUserTimeoutMs = 3000;
 
 } // namespace
 
@@ -31,9 +31,8 @@
 {
     boost::system::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    // Guards against a connection that something between the two ends has forgotten: without a bound the kernel
-    // would retransmit into nothing for a quarter of an hour.
-    const int timeout = userTimeoutMs;
+    // Detects a connection whose state a middlebox dropped; by default the kernel retransmits for many minutes.
+    const int timeout = tcpUserTimeoutMs;
     ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof(timeout));
 }
 
@@ -66,58 +65,57 @@
 
 asio::awaitable<bool> FrameConnection::readMore()
 {
-    const std::size_t kept = received_.size();
-    received_.resize(kept + readBytes);
-    const auto space = asio::buffer(received_.data() + kept, readBytes);
+    const std::size_t oldSize = received_.size();
+    received_.resize(oldSize + readBufferBytes);
+    const auto space = asio::buffer(received_.data() + oldSize, readBufferBytes);
     boost::system::error_code error;
-    std::size_t got = 0;
+    std::size_t count = 0;
     if (tls_) {
-        std::tie(error, got) = co_await tls_->async_read_some(space, asTuple);
+        std::tie(error, count) = co_await tls_->async_read_some(space, asTuple);
     } else {
-        std::tie(error, got) = co_await socket_.async_read_some(space, asTuple);
+        std::tie(error, count) = co_await socket_.async_read_some(space, asTuple);
     }
-    received_.resize(kept + got);
+    received_.resize(oldSize + count);
     if (error) {
         co_return false;
     }
     lastReceived_ = std::chrono::steady_clock::now();
-    traffic_.received += got;
+    traffic_.received += count;
     co_return true;
 }
 
-bool FrameConnection::takeFrames(const FrameHandler &handler)
+bool FrameConnection::dispatchFrames(const FrameHandler &handler)
 {
     std::size_t begin = 0;
     std::uint32_t length = 0;
-    bool isSound = true;
-    while (isSound && isOpen_ && received_.size() - begin >= sizeof(length)) {
+    bool isValid = true;
+    while (isValid && isOpen_ && received_.size() - begin >= sizeof(length)) {
         std::memcpy(&length, received_.data() + begin, sizeof(length));
-        isSound = length <= maxFrameBytes;
-        if (!isSound || received_.size() - begin - sizeof(length) < length) {
+        isValid = length <= maxFrameBytes;
+        if (!isValid || received_.size() - begin - sizeof(length) < length) {
             break;
         }
         Result<Frame> frame = decodeFrame(std::string_view(received_).substr(begin + sizeof(length), length));
         begin += sizeof(length) + length;
-        // A peer that sends something else than frames is not one of ours, or of a broken build.
-        isSound = frame.has_value();
-        if (isSound && frame.value().kind == FrameKind::Ping) {
+        isValid = frame.has_value();
+        if (isValid && frame.value().kind == FrameKind::Ping) {
             send({frame.value().id, FrameKind::Pong, 0, {}});
-        } else if (isSound) {
+        } else if (isValid) {
             handler(std::move(frame.value()));
         }
     }
     received_.erase(0, begin);
-    return isSound;
+    return isValid;
 }
 
 asio::awaitable<void> FrameConnection::read(FrameHandler handler)
 {
-    // Frames come many at a time; one call of the system for each would cost more than the frames themselves.
+    // Reads many frames per system call.
     const auto self = shared_from_this();
-    bool goesOn = true;
-    while (goesOn && isOpen_) {
-        goesOn = co_await readMore();
-        goesOn = goesOn && takeFrames(handler);
+    bool isReading = true;
+    while (isReading && isOpen_) {
+        isReading = co_await readMore();
+        isReading = isReading && dispatchFrames(handler);
     }
     close();
 }
@@ -139,7 +137,7 @@
         return;
     }
     queuedBytes_ += bytes.size();
-    // Guards the memory of this VM against a peer that stopped reading: its requests fail and are tried elsewhere.
+    // Bounds the memory used for a peer that stopped reading; its requests fail and can be retried elsewhere.
     if (queuedBytes_ > maxQueuedBytes) {
         close();
         return;
--- a/src/cardamompost/net/cp_frame_connection.hpp
+++ b/src/cardamompost/net/cp_frame_connection.hpp
@@ -19,9 +19,10 @@
 namespace cardamompost
 {
 
-//! Frames over one TCP connection, with or without TLS. Everything but send() and close() runs on its strand.
+//! Frames over one TCP connection, with or without TLS. send() and isOpen() are thread-safe; everything else runs on
+//! the connection's strand.
 //!
-//! Shared ownership: the operations under way on the socket keep it alive until they have ended.
+//! Owned by shared pointer: pending socket operations keep it alive.
 class FrameConnection : public std::enable_shared_from_this<FrameConnection>
 {
 public:
@@ -31,12 +32,12 @@
     FrameConnection(boost::asio::ip::tcp::socket socket, const std::shared_ptr<boost::asio::ssl::context> &tls,
                     PeerTraffic &traffic);
 
-    //! The handshake of TLS, if there is one. Errors: PeerLost.
+    //! Performs the TLS handshake, if TLS is used. Errors: PeerLost.
     boost::asio::awaitable<Result<void>> open(bool isServer);
-    //! Reads frames until the connection ends.
+    //! Reads frames until the connection is closed.
     boost::asio::awaitable<void> read(FrameHandler handler);
 
-    //! Queues a frame; from any thread. A connection whose queue is too long is closed.
+    //! Queues a frame; thread-safe. The connection is closed when its queue exceeds the limit.
     void send(const Frame &frame);
     void close();
 
@@ -48,17 +49,17 @@
     {
         return lastReceived_;
     }
-    //! True when not a byte has come since then.
-    [[nodiscard]] bool isSilentSince(TimePoint time) const
+    //! True when nothing was received since the given time, or since the connection was opened.
+    [[nodiscard]] bool hasReceivedNothingSince(TimePoint time) const
     {
         return lastReceived_ < time || lastReceived_ == openedAt_;
     }
 
 private:
-    //! Appends what has arrived; false at the end.
+    //! Appends the next bytes to the receive buffer. \returns false at the end of the stream
     boost::asio::awaitable<bool> readMore();
-    //! Hands on the whole frames that have arrived; false when something else than frames has.
-    bool takeFrames(const FrameHandler &handler);
+    //! Passes complete frames to the handler. \returns false for malformed input
+    bool dispatchFrames(const FrameHandler &handler);
     boost::asio::awaitable<bool> writeBytes(std::string bytes);
     boost::asio::awaitable<void> writeQueued();
     void enqueue(std::string bytes);
@@ -76,7 +77,7 @@
     TimePoint lastReceived_;
 };
 
-//! Options that make a lost peer show: no delay, and a bound on unacknowledged data.
+//! Sets TCP_NODELAY, and TCP_USER_TIMEOUT to detect a lost peer.
 void setSocketOptions(boost::asio::ip::tcp::socket &socket);
 
 } // namespace cardamompost
--- a/src/cardamompost/net/cp_frame_encoder.cpp
+++ b/src/cardamompost/net/cp_frame_encoder.cpp
@@ -16,7 +16,7 @@
     out.setOutcome(static_cast<std::uint8_t>(outcome.value_or(Outcome::Unknown)));
 }
 
-//! Writes each kind of body into the union of a frame.
+//! Visitor that writes a body into the union of a frame.
 struct BodyEncoder {
     Body::Builder out;
 
--- a/src/cardamompost/net/cp_http_client.cpp
+++ b/src/cardamompost/net/cp_http_client.cpp
@@ -23,8 +23,8 @@
 {
 
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t readBytes = 16U << 10U;
-constexpr std::uint64_t maxAnswerBytes = 64U << 20U;
+constexpr std::size_t readBufferBytes = 16U << 10U;
+constexpr std::uint64_t maxResponseBytes = 64U << 20U;
 constexpr Milliseconds connectTimeout {2000};
 
 Error transportError(const Address &address, const boost::system::error_code &error)
@@ -47,16 +47,16 @@
 };
 
 struct HttpClient::Pool {
-    std::size_t keptPerAddress = 0;
+    std::size_t maxIdlePerAddress = 0;
     std::mutex mutex;
-    //! Sockets of ended requests, detached from the strand that used them.
+    //! Idle sockets by address, released from the executor that used them.
     std::map<std::string, std::vector<asio::ip::tcp::socket::native_handle_type>> idle;
 };
 
-HttpClient::HttpClient(std::size_t keptPerAddress)
+HttpClient::HttpClient(std::size_t maxIdlePerAddress)
     : pool_(std::make_unique<Pool>())
 {
-    pool_->keptPerAddress = keptPerAddress;
+    pool_->maxIdlePerAddress = maxIdlePerAddress;
 }
 
 HttpClient::~HttpClient()
@@ -97,13 +97,13 @@
     co_return connection;
 }
 
-void HttpClient::keep(const Address &address, std::unique_ptr<Connection> connection)
+void HttpClient::returnToPool(const Address &address, std::unique_ptr<Connection> connection)
 {
     boost::system::error_code error;
     auto &socket = connection->stream.socket();
     const std::lock_guard lock(pool_->mutex);
     auto &idle = pool_->idle[address.toString()];
-    if (idle.size() < pool_->keptPerAddress) {
+    if (idle.size() < pool_->maxIdlePerAddress) {
         const auto handle = socket.release(error);
         if (!error) {
             idle.push_back(handle);
@@ -120,21 +120,21 @@
         co_return connected.error();
     }
     const bool wasReused = connected.value()->isReused;
-    Result<HttpResponse> answer = co_await exchange(*connected.value(), call, none);
-    // A kept connection that the server closed meanwhile fails at once. A request that reuses connections may be
-    // sent twice by its nature, so it gets one more try on a new one.
-    if (!answer && wasReused && answer.error().kind == ErrorKind::BackendFailed) {
+    Result<HttpResponse> result = co_await exchange(*connected.value(), call, none);
+    // The server may have closed a pooled connection. A request that allows reuse is safe to send twice, so it is
+    // retried once on a new connection.
+    if (!result && wasReused && result.error().kind == ErrorKind::BackendFailed) {
         call.reuseConnection = false;
         connected = co_await connect(call);
         if (!connected) {
             co_return connected.error();
         }
-        answer = co_await exchange(*connected.value(), call, none);
+        result = co_await exchange(*connected.value(), call, none);
     }
-    if (answer && answer.value().header("Connection") != "close") {
-        keep(address, std::move(connected.value()));
+    if (result && result.value().header("Connection") != "close") {
+        returnToPool(address, std::move(connected.value()));
     }
-    co_return answer;
+    co_return result;
 }
 
 asio::awaitable<Result<HttpResponse>> HttpClient::stream(HttpCall call, DataHandler onData)
@@ -161,7 +161,7 @@
     auto [error, count] = co_await http::async_write(stream, message, asTuple);
     call.body = std::move(message.body());
     http::response_parser<http::buffer_body> parser;
-    parser.body_limit(onData ? boost::none : boost::optional<std::uint64_t>(maxAnswerBytes));
+    parser.body_limit(onData ? boost::none : boost::optional<std::uint64_t>(maxResponseBytes));
     if (!error) {
         std::tie(error, count) = co_await http::async_read_header(stream, connection.buffer, parser, asTuple);
     }
@@ -171,7 +171,7 @@
     HttpResponse response;
     response.status = parser.get().result_int();
     const bool isStream = onData && response.status == 200;
-    std::array<char, readBytes> bytes {};
+    std::array<char, readBufferBytes> bytes {};
     while (!parser.is_done()) {
         parser.get().body() = {bytes.data(), bytes.size(), false};
         if (isStream) {
@@ -181,10 +181,10 @@
         if (error && error != http::error::need_buffer) {
             co_return transportError(call.address, error);
         }
-        const std::string_view got(bytes.data(), bytes.size() - parser.get().body().size);
+        const std::string_view part(bytes.data(), bytes.size() - parser.get().body().size);
         if (!isStream) {
-            response.body += got;
-        } else if (!got.empty() && !onData(got)) {
+            response.body += part;
+        } else if (!part.empty() && !onData(part)) {
             break;
         }
     }
--- a/src/cardamompost/net/cp_http_message.cpp
+++ b/src/cardamompost/net/cp_http_message.cpp
@@ -29,9 +29,10 @@
 
 void splitTarget(std::string_view target, HttpRequest &request)
 {
-    const auto mark = target.find('?');
-    request.path = percentDecode(target.substr(0, mark));
-    std::string_view query = mark == std::string_view::npos ? std::string_view {} : target.substr(mark + 1);
+    const auto questionMark = target.find('?');
+    request.path = percentDecode(target.substr(0, questionMark));
+    std::string_view query
+        = questionMark == std::string_view::npos ? std::string_view {} : target.substr(questionMark + 1);
     while (!query.empty()) {
         const auto end = query.find('&');
         const std::string_view item = query.substr(0, end);
--- a/src/cardamompost/net/cp_http_server.cpp
+++ b/src/cardamompost/net/cp_http_server.cpp
@@ -23,7 +23,7 @@
 {
 
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-constexpr Milliseconds acceptPause {20};
+constexpr Milliseconds acceptRetryDelay {20};
 
 Error readError(const boost::system::error_code &error)
 {
@@ -39,7 +39,7 @@
     return makeError(ErrorKind::InvalidRequest, "the request is not HTTP/1.1: " + error.message());
 }
 
-bool isGone(const boost::system::error_code &error)
+bool isDisconnect(const boost::system::error_code &error)
 {
     return error == http::error::end_of_stream || error == http::error::partial_message
         || error == asio::error::connection_reset || error == asio::error::operation_aborted
@@ -68,7 +68,7 @@
         stream_.expires_after(timeout_);
         const auto [error, written] = co_await http::async_write(stream_, message, asTuple);
         isBroken_ = static_cast<bool>(error);
-        hasAnswered_ = true;
+        hasResponded_ = true;
     }
 
     asio::awaitable<bool> begin(unsigned status, HttpHeaders headers) override
@@ -83,13 +83,13 @@
         stream_.expires_after(timeout_);
         const auto [error, written] = co_await http::async_write_header(stream_, serializer, asTuple);
         isBroken_ = static_cast<bool>(error);
-        hasAnswered_ = true;
+        hasResponded_ = true;
         co_return !isBroken_;
     }
 
     asio::awaitable<bool> write(std::string bytes) override
     {
-        // An empty chunk would end the answer.
+        // An empty chunk would end the response.
         if (isBroken_ || bytes.empty()) {
             co_return !isBroken_;
         }
@@ -121,7 +121,7 @@
 
     [[nodiscard]] bool isUsable() const
     {
-        return hasAnswered_ && !isBroken_ && keepAlive_;
+        return hasResponded_ && !isBroken_ && keepAlive_;
     }
 
 private:
@@ -129,7 +129,7 @@
     Milliseconds timeout_;
     bool keepAlive_;
     bool isBroken_ = false;
-    bool hasAnswered_ = false;
+    bool hasResponded_ = false;
 };
 
 HttpRequest toRequest(http::request<http::string_body> message)
@@ -144,22 +144,22 @@
     return request;
 }
 
-//! Counts a connection while it is open. Shares the count: a connection that is still open when its server is taken
-//! down ends with the io_context, after the server.
-class CountGuard
+//! Counts a connection while it is open. The count is shared because a connection can outlive its server until the
+//! io_context is destroyed.
+class ConnectionCountGuard
 {
 public:
-    explicit CountGuard(std::shared_ptr<std::atomic<int>> count)
+    explicit ConnectionCountGuard(std::shared_ptr<std::atomic<int>> count)
         : count_(std::move(count))
     {
         ++*count_;
     }
-    ~CountGuard()
+    ~ConnectionCountGuard()
     {
         --*count_;
     }
-    CountGuard(const CountGuard &) = delete;
-    CountGuard &operator=(const CountGuard &) = delete;
+    ConnectionCountGuard(const ConnectionCountGuard &) = delete;
+    ConnectionCountGuard &operator=(const ConnectionCountGuard &) = delete;
 
 private:
     std::shared_ptr<std::atomic<int>> count_;
@@ -197,20 +197,20 @@
 {
     while (acceptor_.is_open()) {
         auto [error, socket] = co_await acceptor_.async_accept(asio::make_strand(executor_), asTuple);
-        // Above the bound a connection is closed at once: its client tries another VM instead of waiting here.
+        // Above the limit a connection is closed at once, so that the client can try another VM.
         if (!error && *openConnections_ < limits_.connections) {
             const auto executor = socket.get_executor();
             asio::co_spawn(executor, serve(std::move(socket)), asio::detached);
             continue;
         }
-        asio::steady_timer pause(acceptor_.get_executor(), acceptPause);
+        asio::steady_timer pause(acceptor_.get_executor(), acceptRetryDelay);
         co_await pause.async_wait(asTuple);
     }
 }
 
 asio::awaitable<void> HttpServer::serve(asio::ip::tcp::socket socket)
 {
-    const CountGuard guard(openConnections_);
+    const ConnectionCountGuard guard(openConnections_);
     beast::tcp_stream stream(std::move(socket));
     boost::system::error_code ignored;
     stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -222,16 +222,16 @@
         parser.header_limit(limits_.headerBytes);
         parser.body_limit(limits_.bodyBytes);
         stream.expires_after(buffer.size() == 0 ? limits_.idleTimeout : limits_.headerTimeout);
-        auto [error, got] = co_await http::async_read_header(stream, buffer, parser, asTuple);
+        auto [error, bytesRead] = co_await http::async_read_header(stream, buffer, parser, asTuple);
         if (!error && !parser.is_done()) {
-            // A slow sender holds one connection and no more than the body limit, for this long at most.
+            // Bounds the time for which a slow sender holds a connection and its buffer.
             stream.expires_after(limits_.bodyTimeout);
-            std::tie(error, got) = co_await http::async_read(stream, buffer, parser, asTuple);
+            std::tie(error, bytesRead) = co_await http::async_read(stream, buffer, parser, asTuple);
         }
         BeastResponder responder(stream, limits_.writeTimeout, !error && parser.get().keep_alive());
         if (error) {
             const bool isIdle = error == beast::error::timeout && buffer.size() == 0 && !parser.got_some();
-            if (!isGone(error) && !isIdle) {
+            if (!isDisconnect(error) && !isIdle) {
                 co_await responder.respond(errorHandler_(readError(error)));
             }
             break;
--- a/src/cardamompost/net/cp_ledger_schema.cpp
+++ b/src/cardamompost/net/cp_ledger_schema.cpp
@@ -82,7 +82,7 @@
     if (!in.account.empty()) {
         out.setAccount(toText(in.account));
     }
-    // What is kept in the log has no wish.
+    // Entries stored in the log have no placement request.
     if (!in.placement.service.empty()) {
         encodePlacementRequest(in.placement, out.initWish());
     }
@@ -116,7 +116,7 @@
 
 TurnFinish decodeTurnFinish(schema::TurnFinish::Reader in)
 {
-    // An ending that this build does not know spends what was handed out.
+    // An unknown ending, from a newer release, is charged as a broken turn.
     const auto ending = in.getEnding() <= static_cast<std::uint8_t>(TurnEnding::Broken)
         ? static_cast<TurnEnding>(in.getEnding())
         : TurnEnding::Broken;
--- a/src/cardamompost/net/cp_ledger_schema.hpp
+++ b/src/cardamompost/net/cp_ledger_schema.hpp
@@ -8,7 +8,7 @@
 namespace cardamompost
 {
 
-//! Into a message that has a sighting's fields among its own.
+//! Writes a group view into any message that has its fields.
 template<typename Builder>
 void encodeGroupView(const GroupView &in, Builder out)
 {
--- a/src/cardamompost/net/cp_open_acceptor.hpp
+++ b/src/cardamompost/net/cp_open_acceptor.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! Makes an acceptor listen on an address. Errors: InvalidConfiguration when the address can't be used.
+//! Binds an acceptor to an address and starts listening. Errors: InvalidConfiguration when the address cannot be bound.
 inline Result<void> openAcceptor(boost::asio::ip::tcp::acceptor &acceptor, const Address &address)
 {
     boost::system::error_code error;
@@ -21,7 +21,8 @@
         acceptor.listen(boost::asio::socket_base::max_listen_connections, error);
     }
     if (error) {
-        return makeError(ErrorKind::InvalidConfiguration, "listen on " + address.toString() + ": " + error.message());
+        return makeError(ErrorKind::InvalidConfiguration,
+                         "cannot listen on " + address.toString() + ": " + error.message());
     }
     return boost::outcome_v2::success();
 }
--- a/src/cardamompost/net/cp_peer_client.cpp
+++ b/src/cardamompost/net/cp_peer_client.cpp
@@ -19,16 +19,14 @@
 {
 
 constexpr Milliseconds checkInterval {100};
-constexpr Milliseconds pingAfter {500};
-constexpr Milliseconds silentAfter {1500};
-// A request that had no reply within this and its own time-out says something of its connection; a shorter one does
-// not.
-constexpr Milliseconds silentAtLeast {300};
-// Shorter than the time after which a lost opening packet is sent again: a VM that is back is found by a new
-// connection.
+constexpr Milliseconds pingIdleTime {500};
+constexpr Milliseconds silenceTimeout {1500};
+// Requests with a shorter timeout are no evidence of a dead connection.
+constexpr Milliseconds minSilenceOfDeadConnection {300};
+// Shorter than the retransmission timeout of a SYN, so that a recovered VM is reached by a new attempt.
 constexpr Milliseconds connectTimeout {200};
-// Messages without a reply that wait for a connection; more are dropped, as they are when there is none.
-constexpr std::size_t maxWaitingMessages = 64;
+// Limit on one-way messages that wait for a connection; further ones are dropped.
+constexpr std::size_t maxQueuedMessages = 64;
 
 std::uint64_t nextRequestId()
 {
@@ -77,10 +75,10 @@
             self->connection_->send(frame);
             return;
         }
-        // Guards the first message of an election: between followers there may be no connection yet, and one that is
-        // only opened by the lost message costs a whole further time-out.
-        if (self->waiting_.size() < maxWaitingMessages) {
-            self->waiting_.push_back(std::move(frame));
+        // Queued, not dropped: followers may have no connection yet, and losing the first message of an election
+        // would cost another election timeout.
+        if (self->queuedFrames_.size() < maxQueuedMessages) {
+            self->queuedFrames_.push_back(std::move(frame));
         }
         self->ensureConnection();
     });
@@ -100,7 +98,7 @@
     asio::post(strand_, [self = shared_from_this()] {
         if (const auto old = std::exchange(self->connection_, nullptr)) {
             old->close();
-            self->failAll(makeError(ErrorKind::PeerLost, self->address_.toString() + ": the connection was given up"));
+            self->failAll(makeError(ErrorKind::PeerLost, self->address_.toString() + ": the connection was reset"));
         }
     });
 }
@@ -125,7 +123,7 @@
         connection_->send(frame);
         return;
     }
-    waiting_.push_back(std::move(frame));
+    queuedFrames_.push_back(std::move(frame));
     ensureConnection();
 }
 
@@ -168,7 +166,7 @@
     opening = connection;
     const Result<void> opened = co_await connection->open(false);
     timeout.cancel();
-    // Lets a timeout that is already queued run while what it refers to is still here.
+    // Runs a timer handler that is already queued before the locals that it refers to are destroyed.
     co_await asio::post(strand_, asio::use_awaitable);
     if (!opened) {
         co_return opened.error();
@@ -182,13 +180,13 @@
     Result<std::shared_ptr<FrameConnection>> connected = co_await connect();
     isConnecting_ = false;
     if (!connected) {
-        waiting_.clear();
+        queuedFrames_.clear();
         failAll(connected.error());
         co_return;
     }
     connection_ = connected.value();
-    const std::vector<Frame> waiting = std::exchange(waiting_, {});
-    for (const Frame &frame : waiting) {
+    const std::vector<Frame> queuedFrames = std::exchange(queuedFrames_, {});
+    for (const Frame &frame : queuedFrames) {
         connection_->send(frame);
     }
     const std::shared_ptr<FrameConnection> current = connection_;
@@ -205,7 +203,7 @@
 {
     const bool isLast = frame.kind == FrameKind::LastReply;
     const auto found = pending_.find(frame.id);
-    // A reply that comes after its request was given up on belongs to nobody.
+    // Ignores replies to cancelled and expired requests.
     if (found == pending_.end() || (!isLast && frame.kind != FrameKind::Reply)) {
         return;
     }
@@ -254,8 +252,8 @@
             ++item;
             continue;
         }
-        const bool wasSilentSince = connection_ && connection_->isSilentSince(item->second.sentAt);
-        isSilent = isSilent || (wasSilentSince && now - item->second.sentAt >= silentAtLeast);
+        const bool wasSilent = connection_ && connection_->hasReceivedNothingSince(item->second.sentAt);
+        isSilent = isSilent || (wasSilent && now - item->second.sentAt >= minSilenceOfDeadConnection);
         expired.push_back(std::move(item->second.handler));
         item = pending_.erase(item);
     }
@@ -269,18 +267,16 @@
 {
     const TimePoint now = std::chrono::steady_clock::now();
     if (expireOverdue(now)) {
-        // Guards against a connection that went silent for good while new ones work: nothing at all has come on it
-        // while a request waited for its whole time. Whoever asks again would otherwise ask into the void until the
-        // pings below have shown it, and a turn is refused by then.
+        // Nothing was received while a request waited for its whole timeout: retries must not wait until the pings
+        // below detect the dead connection.
         reopen();
     }
     if (connection_ && !pending_.empty()) {
         const auto silence = now - connection_->lastReceived();
-        // Guards against a connection that went silent for good while new ones work: the pings that it swallows
-        // show it, and the next request gets a new connection.
-        if (silence > silentAfter && now - lastPing_ < silentAfter) {
+        // Detects a half-open connection by unanswered pings; the next request opens a new one.
+        if (silence > silenceTimeout && now - lastPing_ < silenceTimeout) {
             connection_->close();
-        } else if (silence > pingAfter && now - lastPing_ > pingAfter) {
+        } else if (silence > pingIdleTime && now - lastPing_ > pingIdleTime) {
             lastPing_ = now;
             connection_->send({0, FrameKind::Ping, 0, {}});
         }
--- a/src/cardamompost/net/cp_peer_server.cpp
+++ b/src/cardamompost/net/cp_peer_server.cpp
@@ -20,7 +20,7 @@
 {
 
 constexpr Milliseconds handshakeTimeout {3000};
-constexpr Milliseconds acceptPause {20};
+constexpr Milliseconds acceptRetryDelay {20};
 
 } // namespace
 
@@ -72,8 +72,8 @@
         auto [error, socket]
             = co_await acceptor_.async_accept(asio::make_strand(executor_), asio::as_tuple(asio::use_awaitable));
         if (error) {
-            // Out of descriptors, mostly: a short pause instead of a busy loop.
-            asio::steady_timer pause(acceptor_.get_executor(), acceptPause);
+            // Avoids a busy loop, for example when the process is out of file descriptors.
+            asio::steady_timer pause(acceptor_.get_executor(), acceptRetryDelay);
             co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
             continue;
         }
--- a/src/cardamompost/net/cp_peer_tls.cpp
+++ b/src/cardamompost/net/cp_peer_tls.cpp
@@ -26,7 +26,7 @@
     if (error) {
         return makeError(ErrorKind::InvalidConfiguration, "authority '" + files.authority + "': " + error.message());
     }
-    // Both sides check: an order from, or a history to, a process outside the system must not pass.
+    // Mutual authentication: both sides verify the certificate of the peer.
     context->set_verify_mode(ssl::verify_peer | ssl::verify_fail_if_no_peer_cert);
     return context;
 }
--- a/src/cardamompost/net/cp_schema_codec.hpp
+++ b/src/cardamompost/net/cp_schema_codec.hpp
@@ -14,7 +14,7 @@
 namespace cardamompost
 {
 
-//! Most words that a reader follows in one message; ends the work on a hostile one that points at itself.
+//! Traversal limit for one message, against malicious messages with cyclic pointers.
 inline constexpr std::uint64_t maxTraversalWords = 64U << 20U;
 
 inline capnp::Data::Reader toData(std::string_view bytes)
@@ -44,7 +44,7 @@
     return {reinterpret_cast<const char *>(bytes.begin()), bytes.size()};
 }
 
-//! As toBytes(), without the zeros that fill words: the size of small messages to a third.
+//! As toBytes(), in Cap'n Proto's packed encoding.
 inline std::string toPackedBytes(capnp::MessageBuilder &message)
 {
     kj::VectorOutputStream out;
@@ -60,7 +60,7 @@
     return options;
 }
 
-//! Bytes copied to where words may lie, as a message needs it.
+//! Message reader over a word-aligned copy of its bytes.
 class AlignedMessage
 {
 public:
@@ -89,7 +89,7 @@
 [[nodiscard]] std::vector<std::string> decodeTexts(capnp::List<capnp::Text>::Reader in);
 void encodeTexts(const std::vector<std::string> &texts, capnp::List<capnp::Text>::Builder out);
 
-//! An enumerator from its number on the wire, or a fallback for a number from a newer release.
+//! Converts a number on the wire to an enumerator; unknown numbers, from a newer release, become the last one.
 template<typename Enum>
 Enum decodeEnum(std::uint8_t number, Enum last)
 {
--- a/src/cardamompost/net/cp_sse_parser.cpp
+++ b/src/cardamompost/net/cp_sse_parser.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// A line above this is not from a server that speaks the protocol; the rest of it is dropped.
+// Longer lines are truncated.
 constexpr std::size_t maxLineBytes = 8U << 20U;
 
 } // namespace
@@ -20,22 +20,22 @@
 {
     while (!bytes.empty()) {
         const auto end = bytes.find('\n');
-        if (partial_.size() < maxLineBytes) {
-            partial_ += bytes.substr(0, end);
+        if (partialLine_.size() < maxLineBytes) {
+            partialLine_ += bytes.substr(0, end);
         }
         if (end == std::string_view::npos) {
             return true;
         }
-        const std::string line = std::exchange(partial_, {});
+        const std::string line = std::exchange(partialLine_, {});
         bytes.remove_prefix(end + 1);
-        if (!takeLine(line, handler)) {
+        if (!parseLine(line, handler)) {
             return false;
         }
     }
     return true;
 }
 
-bool SseParser::takeLine(std::string_view line, const Handler &handler)
+bool SseParser::parseLine(std::string_view line, const Handler &handler)
 {
     if (!line.empty() && line.back() == '\r') {
         line.remove_suffix(1);
--- a/tests/net/cp_frame.tests.cpp
+++ b/tests/net/cp_frame.tests.cpp
@@ -10,7 +10,7 @@
 {
 
 template<typename Body>
-Body passThrough(const Body &body)
+Body roundTrip(const Body &body)
 {
     const Result<Frame> decoded = decodeFrame(encodeFrame({7, FrameKind::Request, 250, body}));
     BOOST_REQUIRE(decoded.has_value());
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_SUITE(frame)
 
-BOOST_AUTO_TEST_CASE(messages_between_processes_arrive_as_they_were_sent)
+BOOST_AUTO_TEST_CASE(peer_messages_round_trip_through_the_frame_codec)
 {
     RaftMessage raft;
     raft.type = RaftMessageType::SnapshotPiece;
@@ -33,38 +33,38 @@
     raft.isUninitialized = true;
     raft.entries = {{4, 2, EntryKind::Barrier, std::string("\0binary", 7)}};
     raft.snapshot.membership.voters = {"vm-1", "vm-2"};
-    const RaftMessage raftCopy = passThrough(raft);
+    const RaftMessage raftCopy = roundTrip(raft);
     BOOST_TEST((raftCopy.entries == raft.entries));
     BOOST_TEST((raftCopy.snapshot.membership == raft.snapshot.membership));
     BOOST_TEST(raftCopy.isUninitialized);
     const JournalAppend append {3, 9, "vm-2", 5, 8, {{6, 9, EntryKind::Command, "x"}}, 5};
-    BOOST_TEST(passThrough(append).commit == 5U);
+    BOOST_TEST(roundTrip(append).commit == 5U);
     const GroupView group {"10.0.0.1:7380", 7, 42, {"10.0.0.1:7380", "10.0.0.2:7380"}};
-    const JoinReply joined = passThrough(JoinReply {true, group});
+    const JoinReply joined = roundTrip(JoinReply {true, group});
     BOOST_TEST(joined.isConfirmed);
     BOOST_TEST((joined.group == group));
-    BOOST_TEST((passThrough(LeaderNotice {group}).group == group));
+    BOOST_TEST((roundTrip(LeaderNotice {group}).group == group));
     TurnFinish finish;
     finish.backend = "i-7";
-    BOOST_TEST(passThrough(finish).backend == "i-7");
-    BOOST_TEST(passThrough(JoinRequest {"vm-1", "10.0.0.1:7380", 9, "apapa"}).failureDomain == "apapa");
+    BOOST_TEST(roundTrip(finish).backend == "i-7");
+    BOOST_TEST(roundTrip(JoinRequest {"vm-1", "10.0.0.1:7380", 9, "apapa"}).failureDomain == "apapa");
     const ApiChunk chunk {200, Outcome::NotRun, 77, "body", true};
-    BOOST_TEST((passThrough(chunk).outcome == Outcome::NotRun));
+    BOOST_TEST((roundTrip(chunk).outcome == Outcome::NotRun));
     Error error = makeError(ErrorKind::Overloaded, "busy");
     error.retryAfter = std::chrono::milliseconds(120);
-    const FailureReply failure = passThrough(FailureReply {error});
+    const FailureReply failure = roundTrip(FailureReply {error});
     BOOST_TEST((failure.error.kind == ErrorKind::Overloaded));
     BOOST_TEST((failure.error.retryAfter == std::chrono::milliseconds(120)));
 }
 
-BOOST_AUTO_TEST_CASE(large_messages_are_not_packed_and_arrive_all_the_same)
+BOOST_AUTO_TEST_CASE(large_messages_round_trip_without_packing)
 {
     ApiChunk chunk;
     chunk.body = std::string(1U << 20U, 'x');
-    BOOST_TEST(passThrough(chunk).body.size() == chunk.body.size());
+    BOOST_TEST(roundTrip(chunk).body.size() == chunk.body.size());
 }
 
-BOOST_AUTO_TEST_CASE(a_heartbeat_is_small)
+BOOST_AUTO_TEST_CASE(a_heartbeat_frame_is_small)
 {
     RaftMessage heartbeat;
     heartbeat.from = "vm-1";
@@ -74,7 +74,7 @@
     BOOST_TEST(encodeFrame({0, FrameKind::OneWay, 0, heartbeat}).size() < 80U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_no_frame_is_refused)
+BOOST_AUTO_TEST_CASE(malformed_frames_are_rejected)
 {
     BOOST_TEST(decodeFrame("").has_error());
     BOOST_TEST(decodeFrame("x").has_error());
@@ -84,7 +84,7 @@
     BOOST_TEST(decodeFrame(cut).has_error());
 }
 
-BOOST_AUTO_TEST_CASE(event_streams_are_read_however_they_are_cut)
+BOOST_AUTO_TEST_CASE(event_streams_are_parsed_from_chunks_of_any_size)
 {
     const std::string text = ": comment\n\nid: 5\nevent: tokens\ndata: {\"text\":\"a\"}\r\n\r\ndata: [DONE]\n\n";
     for (std::size_t size = 1; size <= text.size(); ++size) {
@@ -104,7 +104,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(targets_are_decoded)
+BOOST_AUTO_TEST_CASE(request_targets_are_percent_decoded)
 {
     HttpRequest request;
     splitTarget("/v1/a%20b?program=x%2Fy&z", request);
--- a/tests/net/cp_peer_client.tests.cpp
+++ b/tests/net/cp_peer_client.tests.cpp
@@ -16,7 +16,7 @@
 
 namespace asio = boost::asio;
 
-//! Takes connections, and whatever comes on them, and never says a word.
+//! Accepts connections and never sends a byte.
 class SilentPeer
 {
 public:
@@ -54,9 +54,9 @@
 
 BOOST_AUTO_TEST_SUITE(peer_client)
 
-// Something between two VMs forgets their connection: it stays open and swallows everything, while new ones work. A
-// turn's begin was asked again on the same connection until pings had shown the silence, and was refused by then.
-BOOST_AUTO_TEST_CASE(a_request_that_was_answered_by_silence_is_asked_again_on_a_new_connection)
+// A middlebox drops the state of a connection, which stays open but delivers nothing. Retries on it would fail until
+// unanswered pings reveal it.
+BOOST_AUTO_TEST_CASE(a_request_after_a_timeout_on_a_silent_connection_uses_a_new_connection)
 {
     asio::io_context io;
     PeerTraffic traffic;
@@ -73,7 +73,7 @@
         connections.push_back(peer.connections());
         co_await ask(Milliseconds(400));
         connections.push_back(peer.connections());
-        // So short a time says nothing of the connection.
+        // So short a timeout is no evidence of a dead connection.
         co_await ask(Milliseconds(1));
         connections.push_back(peer.connections());
         co_await ask(Milliseconds(1));
