--- a/include/cardamompost/observe/cp_event_log.hpp
+++ b/include/cardamompost/observe/cp_event_log.hpp
@@ -23,20 +23,21 @@
     Error,
 };
 
-//! Writes events as JSON lines: "time", "level", "vm", "event" and the event's own fields. Thread-safe.
+//! Structured log that writes events as JSON lines: "time", "level", "vm", "event" and the event's own fields.
+//! Thread-safe.
 class EventLog
 {
 public:
-    //! \param file   empty for standard error, "-" for standard output, which never makes a writer wait
+    //! \param file   empty for standard error, "-" for standard output, which never blocks a writer
     //! \param level  "debug", "info", "warning" or "error"; anything else means "info"
     EventLog(std::string vm, const std::string &file, const std::string &level);
     ~EventLog();
     EventLog(const EventLog &) = delete;
     EventLog &operator=(const EventLog &) = delete;
 
-    //! Writes out what waits for standard output; to be called a few times a second where "-" is the file.
+    //! Writes buffered lines; must be called a few times a second when the file is "-".
     void flush();
-    //! Lines that were lost because nobody read standard output.
+    //! Number of lines dropped because standard output was not read.
     [[nodiscard]] std::uint64_t dropped() const;
     void write(LogLevel level, std::string_view event, const boost::json::object &fields = {});
     void info(std::string_view event, const boost::json::object &fields = {})
--- a/include/cardamompost/observe/cp_log_explainer.hpp
+++ b/include/cardamompost/observe/cp_log_explainer.hpp
@@ -9,9 +9,9 @@
 namespace cardamompost
 {
 
-//! One line of a log that belongs to an explanation.
+//! A log line that is part of an explanation.
 struct ExplainedLine {
-    //! Milliseconds since 1970, as the process's own clock had it.
+    //! Milliseconds since the Unix epoch, by the clock of the process that wrote the line.
     std::int64_t timeMs = 0;
     std::string vm;
     std::string event;
@@ -19,24 +19,24 @@
     std::string text;
 };
 
-//! What the logs say of one request.
+//! Explains from the logs how one request ended.
 struct Explanation {
-    //! Lines that name the request, of all processes, by time.
+    //! Lines of all processes that name the request, ordered by time.
     std::vector<ExplainedLine> lines;
-    //! What processes believed or lost around its end.
+    //! State changes of all processes around the end of the request, ordered by time.
     std::vector<ExplainedLine> surroundings;
     //! One sentence.
     std::string cause;
-    //! What can't be told from these lines; empty when nothing is missing.
+    //! Logs that are needed for a complete explanation; empty when none are missing.
     std::string missing;
 };
 
-//! Collects log lines of any processes, in any order, and tells from them why a request ended as it did.
+//! Collects log lines of any processes, in any order, and explains from them how a request ended.
 class LogExplainer
 {
 public:
-    //! Takes a line; anything that is not a line of our log is passed over.
-    //! \returns true for a line of our log
+    //! Adds a line; lines that are not log events are ignored.
+    //! \returns true for a log event
     bool add(std::string_view line);
 
     [[nodiscard]] Explanation explain(std::string_view requestId) const;
--- a/include/cardamompost/observe/cp_log_pipe.hpp
+++ b/include/cardamompost/observe/cp_log_pipe.hpp
@@ -8,29 +8,28 @@
 namespace cardamompost
 {
 
-//! Lines on their way to a descriptor that somebody may not read: bounded, and never waiting.
+//! Bounded, non-blocking line buffer in front of a descriptor, such as a pipe whose reader may have stopped.
 //!
-//! Guards requests against a log that nobody takes: a full pipe would stop the whole process at its next line. What
-//! does not fit is dropped, counted, and the count is told by a line of its own once there is room again.
-//! Thread-safety: none; a sink locks around it.
+//! Lines that do not fit are dropped and counted; a "log.dropped" line reports the count once there is space again.
+//! Not thread-safe.
 class LogPipe
 {
 public:
-    //! \param capacity  bytes that may wait
+    //! \param capacity  maximum number of buffered bytes
     LogPipe(int descriptor, std::size_t capacity);
 
-    //! Takes a line without its line feed. Writes only when enough waits to be worth a call.
+    //! Buffers a line, given without its line feed; writes when enough bytes are buffered.
     void add(std::string_view line);
-    //! Writes what can be written without waiting.
+    //! Writes as many buffered bytes as possible without blocking.
     void flush();
 
     [[nodiscard]] std::uint64_t dropped() const
     {
         return dropped_;
     }
-    [[nodiscard]] std::size_t waitingBytes() const
+    [[nodiscard]] std::size_t bufferedBytes() const
     {
-        return waiting_.size();
+        return buffer_.size();
     }
 
 private:
@@ -38,9 +37,9 @@
 
     int descriptor_;
     std::size_t capacity_;
-    std::string waiting_;
+    std::string buffer_;
     std::uint64_t dropped_ = 0;
-    std::uint64_t unreported_ = 0;
+    std::uint64_t unreportedDrops_ = 0;
 };
 
 } // namespace cardamompost
--- a/include/cardamompost/observe/cp_metrics.hpp
+++ b/include/cardamompost/observe/cp_metrics.hpp
@@ -15,10 +15,10 @@
 namespace cardamompost
 {
 
-//! Names and values that tell one time series of a metric from another.
+//! Label names and values that identify one time series of a metric.
 using MetricLabels = std::vector<std::pair<std::string, std::string>>;
 
-//! A number that only grows. Thread-safe.
+//! Monotonically increasing counter. Thread-safe.
 class Counter
 {
 public:
@@ -35,11 +35,11 @@
     std::atomic<std::uint64_t> value_ {0};
 };
 
-//! Counts of durations in fixed buckets. Thread-safe.
+//! Histogram of durations with fixed buckets. Thread-safe.
 class Histogram
 {
 public:
-    //! Upper bounds of the buckets in seconds; a last one has none.
+    //! Upper bounds of the buckets in seconds; a final bucket is unbounded.
     static constexpr std::array bounds {0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1,   0.2,  0.5,
                                         1.0,   2.0,   5.0,   10.0, 30.0, 60.0, 300.0, 600.0};
 
@@ -58,13 +58,13 @@
     std::atomic<std::uint64_t> sumMicros_ {0};
 };
 
-//! The counters and histograms of a process. References stay valid as long as the registry. Thread-safe.
+//! The metrics of a process. References stay valid for the lifetime of the registry. Thread-safe.
 class MetricRegistry
 {
 public:
     Counter &counter(const std::string &name, const MetricLabels &labels = {});
     Histogram &histogram(const std::string &name, const MetricLabels &labels = {});
-    //! A value that is asked for when the metrics are read; called with the registry locked.
+    //! Registers a callback that is read on each call of text(), with the registry locked.
     void gauge(const std::string &name, const MetricLabels &labels, std::function<double()> read);
 
     //! All values in the Prometheus text format.
--- a/src/cardamompost/observe/cp_event_log.cpp
+++ b/src/cardamompost/observe/cp_event_log.cpp
@@ -28,16 +28,15 @@
     Named {LogLevel::Error, "error"},
 };
 
-// The name that stands for standard output where a file is named.
-constexpr std::string_view standardOutput = "-";
+// File name that selects standard output.
+constexpr std::string_view standardOutputName = "-";
 
-constexpr std::size_t usualLineBytes = 512;
+constexpr std::size_t typicalLineBytes = 512;
 
-// About a second of lines of a busy entry.
-constexpr std::size_t pipeCapacity = 256U << 10U;
+constexpr std::size_t pipeCapacityBytes = 256U << 10U;
 
-//! Standard output, which somebody may have stopped to read.
-class PipeSink : public spdlog::sinks::base_sink<std::mutex>
+//! Log sink for standard output that never blocks.
+class StandardOutputSink : public spdlog::sinks::base_sink<std::mutex>
 {
 public:
     [[nodiscard]] std::uint64_t dropped()
@@ -57,7 +56,7 @@
     }
 
 private:
-    LogPipe pipe_ {STDOUT_FILENO, pipeCapacity};
+    LogPipe pipe_ {STDOUT_FILENO, pipeCapacityBytes};
 };
 
 spdlog::level::level_enum toSpdlog(LogLevel level)
@@ -75,7 +74,7 @@
     return spdlog::level::err;
 }
 
-//! Appends the time of day. Its calendar part is made once a second: making it is the dearest part of a line.
+//! Appends the current time. The calendar part is cached for a second because formatting it is expensive.
 void appendTime(std::string &line)
 {
     thread_local std::int64_t lastSecond = -1;
@@ -89,14 +88,14 @@
     fmt::format_to(std::back_inserter(line), FMT_COMPILE("{}.{:03}Z"), calendar, milliseconds % 1000);
 }
 
-bool isPlain(char c)
+bool needsNoEscape(char c)
 {
     return c >= ' ' && c != '"' && c != '\\' && c != '\x7f';
 }
 
 void appendText(std::string &line, std::string_view text)
 {
-    if (!std::all_of(text.begin(), text.end(), isPlain)) {
+    if (!std::all_of(text.begin(), text.end(), needsNoEscape)) {
         line += boost::json::serialize(boost::json::string_view(text.data(), text.size()));
         return;
     }
@@ -105,7 +104,7 @@
     line += '"';
 }
 
-//! As serialize() does it, but without a string of its own for what stands in nearly every line.
+//! Same output as serialize(), without a temporary string for the most common types.
 void appendValue(std::string &line, const boost::json::value &value)
 {
     if (const auto *text = value.if_string()) {
@@ -133,8 +132,8 @@
     spdlog::sink_ptr sink;
     if (file.empty()) {
         sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
-    } else if (file == standardOutput) {
-        auto pipe = std::make_shared<PipeSink>();
+    } else if (file == standardOutputName) {
+        auto pipe = std::make_shared<StandardOutputSink>();
         dropped_ = [pipe] { return pipe->dropped(); };
         sink = std::move(pipe);
     } else {
@@ -143,7 +142,7 @@
     logger_ = std::make_shared<spdlog::logger>("cardamompost", sink);
     logger_->set_pattern("%v");
     logger_->set_level(toSpdlog(valueOf(levelNames, level).value_or(LogLevel::Info)));
-    logger_->flush_on(file == standardOutput ? spdlog::level::warn : spdlog::level::info);
+    logger_->flush_on(file == standardOutputName ? spdlog::level::warn : spdlog::level::info);
 }
 
 EventLog::~EventLog()
@@ -167,7 +166,7 @@
         return;
     }
     std::string line;
-    line.reserve(usualLineBytes);
+    line.reserve(typicalLineBytes);
     line += R"({"time":")";
     appendTime(line);
     line += '"';
--- a/src/cardamompost/observe/cp_log_explainer.cpp
+++ b/src/cardamompost/observe/cp_log_explainer.cpp
@@ -18,11 +18,11 @@
 namespace
 {
 
-constexpr std::int64_t beforeMs = 3000;
-constexpr std::int64_t afterMs = 1500;
+constexpr std::int64_t contextBeforeMs = 3000;
+constexpr std::int64_t contextAfterMs = 1500;
 
-//! Events that change what a process believes, whichever request it serves.
-constexpr std::array<std::string_view, 15> beliefs {
+//! Events that record a change of a process's state, independent of any request.
+constexpr std::array<std::string_view, 15> stateEvents {
     "ledger.lost",      "ledger.found",   "ledger.leader", "members.change",    "process.start",
     "process.stopping", "list.lost",      "list.regained", "document.in_force", "entry.readiness",
     "disk.failed",      "ledger.started", "log.dropped",   "backend.left_out",  "process.stalled",
@@ -61,7 +61,7 @@
     return !error && value.is_object() ? value.as_object() : json::object {};
 }
 
-bool names(const json::object &line, std::string_view id)
+bool isAboutRequest(const json::object &line, std::string_view id)
 {
     return text(line, "id") == id || text(line, "turn") == id;
 }
@@ -84,24 +84,24 @@
     }
     if (cause == "silent") {
         return fmt::format(
-            "the backend server '{}' was sent the request and was silent for far longer than such answers "
-            "take{}; it may have run, and no other server could be asked any more",
+            "the backend server '{}' was sent the request and its response was overdue{}; it may have run, and "
+            "no other server could be tried",
             backend, detail);
     }
     if (cause == "broke-off") {
-        return fmt::format("the answer of the backend server '{}' broke off in the middle{}", backend, detail);
+        return fmt::format("the response of the backend server '{}' was truncated{}", backend, detail);
     }
     if (cause == "caller-gone" || cause == "the caller left") {
         return fmt::format("the caller left after {} ms, and the work was cancelled", number(end, "ms"));
     }
     if (cause == "timed-out") {
-        return fmt::format("its time was over after {} ms at the backend server '{}'", number(end, "ms"), backend);
+        return fmt::format("the request timed out after {} ms at the backend server '{}'", number(end, "ms"), backend);
     }
     if (cause == "not-durable" || cause == "not-granted") {
         return "the turn ran, but no quorum of the ledger confirmed it in time";
     }
     if (cause == "not-run") {
-        return fmt::format("no backend server could run it ({} were asked); it has not run", number(end, "sends"));
+        return fmt::format("no backend server could run it ({} were tried); it has not run", number(end, "sends"));
     }
     if (cause == "the ledger can't be reached") {
         return fmt::format(
@@ -112,7 +112,7 @@
     return fmt::format("{} (status {})", cause, status);
 }
 
-std::string causeOfRefusal(const json::object &refusal)
+std::string causeOfBudgetRefusal(const json::object &refusal)
 {
     return fmt::format(
         "the program '{}' had spent {} and reserved {} for turns under way of its budget of {} tokens, and the "
@@ -130,8 +130,8 @@
     const std::string reached = text(limited, "reached") == "programs"
         ? "has begun as many programs as its limit can finish"
         : "has sent more requests than its limit allows";
-    return fmt::format("the account '{}' {}, {}; it has not run, and was told to come back after {} ms", account,
-                       reached, limit, number(limited, "retry_after_ms"));
+    return fmt::format("the account '{}' {}, {}; it has not run; the caller may retry after {} ms", account, reached,
+                       limit, number(limited, "retry_after_ms"));
 }
 
 std::string causeOfUnknownKey(const json::object &end)
@@ -141,45 +141,45 @@
                        number(end, "document"), number(end, "news_age_ms"));
 }
 
-//! What the logs say of one request's end; empty objects for lines that are not there.
-struct EndLines {
+//! Log events of the end of one request; empty objects for events that are missing.
+struct RequestEvents {
     const json::object &end;
     const json::object &refusal;
     const json::object &limited;
 };
 
 constexpr std::int64_t unauthorizedStatus = 401;
-constexpr std::int64_t spentStatus = 402;
-constexpr std::int64_t limitedStatus = 429;
+constexpr std::int64_t budgetExhaustedStatus = 402;
+constexpr std::int64_t rateLimitedStatus = 429;
 
-std::string causeOf(const EndLines &lines)
+std::string causeOf(const RequestEvents &lines)
 {
     const std::int64_t status = number(lines.end, "status");
-    if (status == spentStatus && !lines.refusal.empty()) {
-        return causeOfRefusal(lines.refusal);
+    if (status == budgetExhaustedStatus && !lines.refusal.empty()) {
+        return causeOfBudgetRefusal(lines.refusal);
     }
-    if (status == limitedStatus && !lines.limited.empty()) {
+    if (status == rateLimitedStatus && !lines.limited.empty()) {
         return causeOfLimit(lines.limited);
     }
     return status == unauthorizedStatus ? causeOfUnknownKey(lines.end) : causeOfEnd(lines.end);
 }
 
-//! Which lines would be needed besides; empty when the cause is complete.
-std::string missingOf(const EndLines &lines)
+//! Logs that are needed for a complete cause; empty when none are missing.
+std::string missingLogs(const RequestEvents &lines)
 {
     const std::int64_t status = number(lines.end, "status");
-    if (status == limitedStatus && lines.limited.empty()) {
-        return "the ledger VMs' logs, which have which limit was reached";
+    if (status == rateLimitedStatus && lines.limited.empty()) {
+        return "the logs of the ledger VMs, which record the limit that was reached";
     }
-    if (status == spentStatus && lines.refusal.empty()) {
-        return "the ledger VMs' logs, which have what was spent";
+    if (status == budgetExhaustedStatus && lines.refusal.empty()) {
+        return "the logs of the ledger VMs, which record what was spent";
     }
-    return lines.end.empty() ? "the entry's line of its end; without it only the ledger's part is known"
+    return lines.end.empty() ? "the entry's request.end line; without it only the ledger's part is known"
                              : std::string();
 }
 
-//! What to add to the cause when the request's VM stood still around its end; empty otherwise.
-std::string stallOf(const std::string &vm, const std::vector<ExplainedLine> &surroundings)
+//! Suffix for the cause when the request's VM stalled around its end; empty otherwise.
+std::string stallSuffix(const std::string &vm, const std::vector<ExplainedLine> &surroundings)
 {
     for (const ExplainedLine &line : surroundings) {
         if (line.event == "process.stalled" && line.vm == vm) {
@@ -189,9 +189,9 @@
     return {};
 }
 
-bool isBelief(const std::string &event)
+bool isStateEvent(const std::string &event)
 {
-    return std::find(beliefs.begin(), beliefs.end(), event) != beliefs.end();
+    return std::find(stateEvents.begin(), stateEvents.end(), event) != stateEvents.end();
 }
 
 } // namespace
@@ -222,12 +222,12 @@
     json::object refusal;
     json::object limited;
     for (const ExplainedLine &line : lines_) {
-        // Cheap first: most lines are of other requests.
+        // Avoids parsing lines of other requests.
         if (line.text.find(requestId) == std::string::npos) {
             continue;
         }
         json::object parsed = parseLine(line.text);
-        if (!names(parsed, requestId)) {
+        if (!isAboutRequest(parsed, requestId)) {
             continue;
         }
         result.lines.push_back(line);
@@ -244,20 +244,20 @@
     std::stable_sort(result.lines.begin(), result.lines.end(), byTime);
     if (result.lines.empty()) {
         result.missing
-            = "no line names this request: it never reached an entry whose log is here, or the entry was killed "
-              "within the last fifth of a second before its line was written";
+            = "no log line names this request: it did not reach an entry whose log was given, or the entry was killed "
+              "within 200 ms, before the line was flushed";
         return result;
     }
     const std::int64_t at = result.lines.back().timeMs;
     for (const ExplainedLine &line : lines_) {
-        if (isBelief(line.event) && line.timeMs >= at - beforeMs && line.timeMs <= at + afterMs) {
+        if (isStateEvent(line.event) && line.timeMs >= at - contextBeforeMs && line.timeMs <= at + contextAfterMs) {
             result.surroundings.push_back(line);
         }
     }
     std::stable_sort(result.surroundings.begin(), result.surroundings.end(), byTime);
-    result.missing = missingOf({end, refusal, limited});
+    result.missing = missingLogs({end, refusal, limited});
     result.cause = causeOf({end, refusal, limited});
-    result.cause += stallOf(text(end, "vm"), result.surroundings);
+    result.cause += stallSuffix(text(end, "vm"), result.surroundings);
     return result;
 }
 
--- a/src/cardamompost/observe/cp_log_pipe.cpp
+++ b/src/cardamompost/observe/cp_log_pipe.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-// A pipe that is ready for writing takes this much at once without waiting.
-constexpr std::size_t pieceBytes = PIPE_BUF;
+// A writable pipe accepts this much without blocking.
+constexpr std::size_t maxWriteBytes = PIPE_BUF;
 
 } // namespace
 
@@ -26,27 +26,27 @@
 
 void LogPipe::append(std::string_view line)
 {
-    waiting_ += line;
-    waiting_ += '\n';
+    buffer_ += line;
+    buffer_ += '\n';
 }
 
 void LogPipe::add(std::string_view line)
 {
-    if (waiting_.size() + line.size() + 1 > capacity_) {
+    if (buffer_.size() + line.size() + 1 > capacity_) {
         flush();
     }
-    if (waiting_.size() + line.size() + 1 > capacity_) {
+    if (buffer_.size() + line.size() + 1 > capacity_) {
         ++dropped_;
-        ++unreported_;
+        ++unreportedDrops_;
         return;
     }
-    if (unreported_ != 0) {
-        append(
-            fmt::format(R"({{"level":"warning","event":"log.dropped","lines":{},"total":{}}})", unreported_, dropped_));
-        unreported_ = 0;
+    if (unreportedDrops_ != 0) {
+        append(fmt::format(R"({{"level":"warning","event":"log.dropped","lines":{},"total":{}}})", unreportedDrops_,
+                           dropped_));
+        unreportedDrops_ = 0;
     }
     append(line);
-    if (waiting_.size() >= pieceBytes) {
+    if (buffer_.size() >= maxWriteBytes) {
         flush();
     }
 }
@@ -54,19 +54,19 @@
 void LogPipe::flush()
 {
     std::size_t done = 0;
-    while (done < waiting_.size()) {
+    while (done < buffer_.size()) {
         pollfd ready {descriptor_, POLLOUT, 0};
         if (::poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) {
             break;
         }
-        const std::size_t size = std::min(pieceBytes, waiting_.size() - done);
-        const ssize_t written = ::write(descriptor_, waiting_.data() + done, size);
+        const std::size_t size = std::min(maxWriteBytes, buffer_.size() - done);
+        const ssize_t written = ::write(descriptor_, buffer_.data() + done, size);
         if (written <= 0) {
             break;
         }
         done += static_cast<std::size_t>(written);
     }
-    waiting_.erase(0, done);
+    buffer_.erase(0, done);
 }
 
 } // namespace cardamompost
--- a/src/cardamompost/observe/cp_metrics.cpp
+++ b/src/cardamompost/observe/cp_metrics.cpp
@@ -22,7 +22,7 @@
     return escaped;
 }
 
-std::string render(const MetricLabels &labels)
+std::string formatLabels(const MetricLabels &labels)
 {
     std::string text;
     for (const auto &[name, value] : labels) {
@@ -31,14 +31,14 @@
     return text;
 }
 
-std::string series(const std::string &name, const std::string &labels, const std::string &extra = {})
+std::string seriesName(const std::string &name, const std::string &labels, const std::string &extra = {})
 {
     const std::string comma = labels.empty() || extra.empty() ? "" : ",";
     const std::string all = labels + comma + extra;
     return all.empty() ? name : fmt::format("{}{{{}}}", name, all);
 }
 
-void addType(std::string &text, std::string &lastName, const std::string &name, std::string_view type)
+void appendType(std::string &text, std::string &lastName, const std::string &name, std::string_view type)
 {
     if (name != lastName) {
         text += fmt::format("# TYPE {} {}\n", name, type);
@@ -46,18 +46,19 @@
     }
 }
 
-void addHistogram(std::string &text, const std::string &name, const std::string &labels, const Histogram &histogram)
+void appendHistogram(std::string &text, const std::string &name, const std::string &labels, const Histogram &histogram)
 {
     std::uint64_t cumulative = 0;
     for (std::size_t i = 0; i < Histogram::bounds.size(); ++i) {
         cumulative += histogram.countIn(i);
-        text += fmt::format("{} {}\n", series(name + "_bucket", labels, fmt::format("le=\"{}\"", Histogram::bounds[i])),
+        text += fmt::format("{} {}\n",
+                            seriesName(name + "_bucket", labels, fmt::format("le=\"{}\"", Histogram::bounds[i])),
                             cumulative);
     }
     cumulative += histogram.countIn(Histogram::bounds.size());
-    text += fmt::format("{} {}\n", series(name + "_bucket", labels, "le=\"+Inf\""), cumulative);
-    text += fmt::format("{} {}\n", series(name + "_sum", labels), histogram.sum());
-    text += fmt::format("{} {}\n", series(name + "_count", labels), cumulative);
+    text += fmt::format("{} {}\n", seriesName(name + "_bucket", labels, "le=\"+Inf\""), cumulative);
+    text += fmt::format("{} {}\n", seriesName(name + "_sum", labels), histogram.sum());
+    text += fmt::format("{} {}\n", seriesName(name + "_count", labels), cumulative);
 }
 
 } // namespace
@@ -72,7 +73,7 @@
 Counter &MetricRegistry::counter(const std::string &name, const MetricLabels &labels)
 {
     const std::lock_guard lock(mutex_);
-    auto &slot = counters_[{name, render(labels)}];
+    auto &slot = counters_[{name, formatLabels(labels)}];
     if (!slot) {
         slot = std::make_unique<Counter>();
     }
@@ -82,7 +83,7 @@
 Histogram &MetricRegistry::histogram(const std::string &name, const MetricLabels &labels)
 {
     const std::lock_guard lock(mutex_);
-    auto &slot = histograms_[{name, render(labels)}];
+    auto &slot = histograms_[{name, formatLabels(labels)}];
     if (!slot) {
         slot = std::make_unique<Histogram>();
     }
@@ -92,7 +93,7 @@
 void MetricRegistry::gauge(const std::string &name, const MetricLabels &labels, std::function<double()> read)
 {
     const std::lock_guard lock(mutex_);
-    gauges_[{name, render(labels)}] = std::move(read);
+    gauges_[{name, formatLabels(labels)}] = std::move(read);
 }
 
 std::string MetricRegistry::text() const
@@ -101,16 +102,16 @@
     std::string text;
     std::string lastName;
     for (const auto &[key, counter] : counters_) {
-        addType(text, lastName, key.first, "counter");
-        text += fmt::format("{} {}\n", series(key.first, key.second), counter->value());
+        appendType(text, lastName, key.first, "counter");
+        text += fmt::format("{} {}\n", seriesName(key.first, key.second), counter->value());
     }
     for (const auto &[key, read] : gauges_) {
-        addType(text, lastName, key.first, "gauge");
-        text += fmt::format("{} {}\n", series(key.first, key.second), read());
+        appendType(text, lastName, key.first, "gauge");
+        text += fmt::format("{} {}\n", seriesName(key.first, key.second), read());
     }
     for (const auto &[key, histogram] : histograms_) {
-        addType(text, lastName, key.first, "histogram");
-        addHistogram(text, key.first, key.second, *histogram);
+        appendType(text, lastName, key.first, "histogram");
+        appendHistogram(text, key.first, key.second, *histogram);
     }
     return text;
 }
--- a/tests/observe/cp_event_log.tests.cpp
+++ b/tests/observe/cp_event_log.tests.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-//! The lines that a log wrote, each as an object; a line that is none fails the test.
-std::vector<boost::json::object> linesOf(const std::string &file)
+//! Parses each line of a log file; fails the test for a line that is not JSON.
+std::vector<boost::json::object> readLines(const std::string &file)
 {
     std::vector<boost::json::object> lines;
     std::ifstream input(file);
@@ -30,9 +30,8 @@
 
 BOOST_AUTO_TEST_SUITE(event_log)
 
-// Ids and error texts come from outside. One with a quote or a line feed in it must not break a line, or a collector
-// drops it, and the one failed request that matters can't be explained.
-BOOST_AUTO_TEST_CASE(every_line_is_one_json_object_whatever_its_fields_hold)
+// Ids and error texts are untrusted: a quote or a line feed in one must not produce a line that a log collector drops.
+BOOST_AUTO_TEST_CASE(every_line_is_one_json_object_for_any_field_value)
 {
     const std::string file
         = (std::filesystem::temp_directory_path() / ("cardamompost-log-" + std::to_string(::getpid()))).string();
@@ -59,7 +58,7 @@
                   {"list", boost::json::array {1, "two"}}});
         log.debug("left.out");
     }
-    const std::vector<boost::json::object> lines = linesOf(file);
+    const std::vector<boost::json::object> lines = readLines(file);
     std::filesystem::remove(file);
     BOOST_REQUIRE(lines.size() == texts.size() + 1);
     for (std::size_t i = 0; i < texts.size(); ++i) {
--- a/tests/observe/cp_log_explainer.tests.cpp
+++ b/tests/observe/cp_log_explainer.tests.cpp
@@ -6,9 +6,9 @@
 
 BOOST_AUTO_TEST_SUITE(log_explainer)
 
-// A foreman heard nothing: the entry that had his request stood still for six seconds. Its own line says only that he
-// left, after no time at all, since the request was read when it woke.
-BOOST_AUTO_TEST_CASE(a_caller_that_left_a_vm_that_stood_still_is_told_as_that)
+// An entry that stalls reads the request only afterwards and logs that the caller left at once; the explanation must
+// name the stall.
+BOOST_AUTO_TEST_CASE(a_caller_that_left_a_stalled_vm_is_explained_by_the_stall)
 {
     LogExplainer explainer;
     explainer.add(R"({"time":"2026-08-22T07:52:21.002Z","vm":"entry-1","event":"process.stalled","ms":6004})");
--- a/tests/observe/cp_log_pipe.tests.cpp
+++ b/tests/observe/cp_log_pipe.tests.cpp
@@ -12,7 +12,6 @@
 
 constexpr std::size_t capacity = 64U << 10U;
 
-//! Both ends of a pipe.
 struct Pipe {
     Pipe()
     {
@@ -37,7 +36,7 @@
 
 BOOST_AUTO_TEST_SUITE(log_pipe)
 
-BOOST_AUTO_TEST_CASE(lines_come_out_in_order)
+BOOST_AUTO_TEST_CASE(lines_are_written_in_order)
 {
     const Pipe pipe;
     LogPipe log(pipe.ends[1], capacity);
@@ -45,12 +44,11 @@
     log.add("two");
     log.flush();
     BOOST_TEST(pipe.read() == "one\ntwo\n");
-    BOOST_TEST(log.waitingBytes() == 0U);
+    BOOST_TEST(log.bufferedBytes() == 0U);
 }
 
-// Whoever collects the logs hangs and reads nothing any more. A process that waited for the full pipe would answer no
-// request until somebody noticed; this test would never end.
-BOOST_AUTO_TEST_CASE(a_pipe_that_nobody_reads_stops_nothing_and_what_is_lost_is_told)
+// A log collector that stops reading must not block the process; a blocking write would hang this test.
+BOOST_AUTO_TEST_CASE(a_full_pipe_does_not_block_and_dropped_lines_are_reported)
 {
     const Pipe pipe;
     LogPipe log(pipe.ends[1], capacity);
@@ -59,18 +57,18 @@
         log.add(line);
     }
     BOOST_TEST(log.dropped() > 0U);
-    BOOST_TEST(log.waitingBytes() <= capacity);
-    const std::string told = "\"lines\":" + std::to_string(log.dropped());
-    std::string seen = pipe.read();
+    BOOST_TEST(log.bufferedBytes() <= capacity);
+    const std::string expectedCount = "\"lines\":" + std::to_string(log.dropped());
+    std::string output = pipe.read();
     log.flush();
     log.add("after");
-    for (int i = 0; i < 20 && !seen.ends_with("after\n"); ++i) {
-        seen += pipe.read();
+    for (int i = 0; i < 20 && !output.ends_with("after\n"); ++i) {
+        output += pipe.read();
         log.flush();
     }
-    BOOST_TEST(seen.find("log.dropped") != std::string::npos);
-    BOOST_TEST(seen.find(told) != std::string::npos);
-    BOOST_TEST(seen.ends_with("after\n"));
+    BOOST_TEST(output.find("log.dropped") != std::string::npos);
+    BOOST_TEST(output.find(expectedCount) != std::string::npos);
+    BOOST_TEST(output.ends_with("after\n"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
