--- a/benchmarks/cp_bench.hpp
+++ b/benchmarks/cp_bench.hpp
@@ -10,7 +10,7 @@
 namespace cardamompost::bench
 {
 
-//! Time that a piece of work takes, in seconds.
+//! Runs `work` and returns its wall-clock time in seconds.
 template<typename Work>
 double secondsOf(Work work)
 {
@@ -19,8 +19,8 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-//! Prints a figure, and compares it with its bound. Figures are ratios within one run, so that a busy machine does not
-//! decide.
+//! Prints results and checks them against bounds. Bounded results should be ratios of values from one run, so that the
+//! outcome does not depend on the load of the machine.
 class Bounds
 {
 public:
@@ -38,17 +38,17 @@
     }
     [[nodiscard]] int exitCode() const
     {
-        return isBroken_ ? 1 : 0;
+        return hasViolation_ ? 1 : 0;
     }
 
 private:
-    void report(const std::string &name, double value, bool holds, const std::string &bound)
+    void report(const std::string &name, double value, bool isMet, const std::string &bound)
     {
-        std::cout << fmt::format("{:<64} {:>12.3f} {} ({})\n", name, value, holds ? "holds" : "BROKEN", bound);
-        isBroken_ = isBroken_ || !holds;
+        std::cout << fmt::format("{:<64} {:>12.3f} {} ({})\n", name, value, isMet ? "holds" : "BROKEN", bound);
+        hasViolation_ = hasViolation_ || !isMet;
     }
 
-    bool isBroken_ = false;
+    bool hasViolation_ = false;
 };
 
 } // namespace cardamompost::bench
--- a/benchmarks/cp_decisions.bench.cpp
+++ b/benchmarks/cp_decisions.bench.cpp
@@ -7,8 +7,7 @@
 
 #include <random>
 
-// What one decision costs: with the replicas that a VM uses, with all of the two-year size, and with many calls
-// waiting.
+// Cost of one placement decision by number of replicas and of waiting calls, and of planning partition owners.
 
 namespace
 {
@@ -40,8 +39,8 @@
     return call;
 }
 
-// Microseconds of one decision when so many calls wait.
-double decisionMicros(const std::string &placement, int replicas, int waiting, int rounds)
+// Mean time of one decision, in microseconds, with `waiting` calls added in each round.
+double microsecondsPerDecision(const std::string &placement, int replicas, int waiting, int rounds)
 {
     PolicyRegistry &registry = PolicyRegistry::instance();
     CallSchedulerOptions options;
@@ -61,7 +60,7 @@
     return seconds * 1e6 / static_cast<double>(placed);
 }
 
-double planMillis(std::uint32_t partitions, int vms)
+double planMilliseconds(std::uint32_t partitions, int vms)
 {
     ControlState state(partitions);
     std::set<VmName> usable;
@@ -82,18 +81,18 @@
 int main()
 {
     cardamompost::bench::Bounds bounds;
-    const double small = decisionMicros("warm-detour", 16, 1, decisions);
-    const double least = decisionMicros("least-load", 16, 1, decisions);
-    bounds.show("one decision, 16 replicas, warm-detour", small, "us");
-    bounds.show("one decision, 16 replicas, least-load", least, "us");
-    bounds.show("one decision, 500 replicas", decisionMicros("warm-detour", 500, 1, decisions / 10), "us");
-    bounds.show("one decision, 5700 replicas", decisionMicros("warm-detour", 5700, 1, decisions / 100), "us");
-    bounds.show("one decision, 16 replicas, 100 calls waiting", decisionMicros("warm-detour", 16, 100, decisions / 100),
-                "us");
+    const double warmDetour = microsecondsPerDecision("warm-detour", 16, 1, decisions);
+    const double leastLoad = microsecondsPerDecision("least-load", 16, 1, decisions);
+    bounds.show("one decision, 16 replicas, warm-detour", warmDetour, "us");
+    bounds.show("one decision, 16 replicas, least-load", leastLoad, "us");
+    bounds.show("one decision, 500 replicas", microsecondsPerDecision("warm-detour", 500, 1, decisions / 10), "us");
+    bounds.show("one decision, 5700 replicas", microsecondsPerDecision("warm-detour", 5700, 1, decisions / 100), "us");
+    bounds.show("one decision, 16 replicas, 100 calls waiting",
+                microsecondsPerDecision("warm-detour", 16, 100, decisions / 100), "us");
     bounds.show("one decision, 16 replicas, 1000 calls waiting",
-                decisionMicros("warm-detour", 16, 1000, decisions / 1000), "us");
-    bounds.atMost("warm-detour against least-load, 16 replicas", small / least, 4.0);
-    bounds.show("owners for 1024 partitions on 350 VMs", planMillis(1024, 350), "ms");
-    bounds.show("owners for 1024 partitions on 9 VMs", planMillis(1024, 9), "ms");
+                microsecondsPerDecision("warm-detour", 16, 1000, decisions / 1000), "us");
+    bounds.atMost("warm-detour against least-load, 16 replicas", warmDetour / leastLoad, 4.0);
+    bounds.show("owners for 1024 partitions on 350 VMs", planMilliseconds(1024, 350), "ms");
+    bounds.show("owners for 1024 partitions on 9 VMs", planMilliseconds(1024, 9), "ms");
     return bounds.exitCode();
 }
--- a/benchmarks/cp_limits.bench.cpp
+++ b/benchmarks/cp_limits.bench.cpp
@@ -1,5 +1,5 @@
-// Ways to keep an account's limit over many entries, in virtual time: what each refuses of programs that are within the
-// limit, and how many messages it needs. Usage: bench_limits [SECONDS]
+// Compares strategies that enforce an account's limit across many entries, in virtual time: share of refused programs
+// and messages per request. Usage: bench_limits [SECONDS]
 
 #include <cardamompost/limits/cp_request_limiter.hpp>
 #include <cardamompost/limits/cp_token_bucket.hpp>
@@ -22,17 +22,17 @@
 constexpr TimePoint start {std::chrono::hours(1)};
 constexpr Milliseconds warmUp {10'000};
 
-struct Answer {
+struct Admission {
     bool isAdmitted = false;
     Milliseconds delay {0};
 };
 
-//! One way to keep one account's limit.
-class Way
+//! Enforces the limit of one account across all entries.
+class LimitStrategy
 {
 public:
-    virtual ~Way() = default;
-    virtual Answer ask(std::size_t entry, bool beginsProgram, TimePoint now) = 0;
+    virtual ~LimitStrategy() = default;
+    virtual Admission admit(std::size_t entry, bool beginsProgram, TimePoint now) = 0;
 
     [[nodiscard]] std::uint64_t messages() const
     {
@@ -49,11 +49,11 @@
     std::uint64_t messages_ = 0;
 };
 
-//! Every request asks the one VM that counts.
-class Counted : public Way
+//! Each request is sent to one VM, which counts centrally.
+class CentralCounter : public LimitStrategy
 {
 public:
-    Counted(RequestLimit limit, LimitTolerance exactness)
+    CentralCounter(RequestLimit limit, LimitTolerance exactness)
         : limiter_(exactness)
     {
         Account account;
@@ -61,7 +61,7 @@
         account.limit = limit;
         limiter_.setLimits({account}, start);
     }
-    Answer ask(std::size_t /*entry*/, bool beginsProgram, TimePoint now) override
+    Admission admit(std::size_t /*entry*/, bool beginsProgram, TimePoint now) override
     {
         countMessage();
         const RequestLimiter::Decision decision = limiter_.admit({"a", std::to_string(++id_), beginsProgram}, now);
@@ -73,64 +73,64 @@
     std::uint64_t id_ = 0;
 };
 
-//! Entries borrow small stocks, which end by themselves, from one bucket.
-class Lent : public Way
+//! Entries lease tokens from one central bucket; leased tokens expire.
+class TokenLeasing : public LimitStrategy
 {
 public:
-    Lent(RequestLimit limit, std::size_t entries)
+    TokenLeasing(RequestLimit limit, std::size_t entries)
         : limit_(limit)
         , bucket_(limit.perSecond, std::max(1.0, limit.burst), start)
-        , stocks_(entries)
+        , leases_(entries)
     {
     }
-    Answer ask(std::size_t entry, bool /*beginsProgram*/, TimePoint now) override
+    Admission admit(std::size_t entry, bool /*beginsProgram*/, TimePoint now) override
     {
-        Stock &stock = stocks_[entry];
-        if (now > stock.until) {
-            stock.tokens = 0;
+        Lease &lease = leases_[entry];
+        if (now > lease.expiry) {
+            lease.tokens = 0;
         }
-        if (stock.tokens < 1) {
+        if (lease.tokens < 1) {
             countMessage();
-            // Half a second of the demand that this entry has seen, and the request itself.
-            const double seen = std::chrono::duration<double>(now - stock.lastAsked).count();
-            const double wanted = 1 + std::floor(std::min(5.0, 0.5 / std::max(seen, 0.05)));
-            stock.lastAsked = now;
-            for (double i = 0; i < wanted && bucket_.tryTake(1, now); ++i) {
-                stock.tokens += 1;
+            // Requests one token plus up to half a second of the entry's recent demand.
+            const double secondsSinceRequest = std::chrono::duration<double>(now - lease.lastRequest).count();
+            const double requested = 1 + std::floor(std::min(5.0, 0.5 / std::max(secondsSinceRequest, 0.05)));
+            lease.lastRequest = now;
+            for (double i = 0; i < requested && bucket_.tryTake(1, now); ++i) {
+                lease.tokens += 1;
             }
-            stock.until = now + stockLife;
+            lease.expiry = now + leaseDuration;
         }
-        if (stock.tokens < 1) {
+        if (lease.tokens < 1) {
             return {};
         }
-        stock.tokens -= 1;
+        lease.tokens -= 1;
         return {true, Milliseconds(0)};
     }
 
 private:
-    static constexpr Milliseconds stockLife {1000};
-    struct Stock {
+    static constexpr Milliseconds leaseDuration {1000};
+    struct Lease {
         double tokens = 0;
-        TimePoint until {};
-        TimePoint lastAsked {};
+        TimePoint expiry {};
+        TimePoint lastRequest {};
     };
     RequestLimit limit_;
     TokenBucket bucket_;
-    std::vector<Stock> stocks_;
+    std::vector<Lease> leases_;
 };
 
-//! Each entry has an equal share for itself.
-class Shared : public Way
+//! Each entry has its own bucket with an equal share of the limit.
+class EqualShares : public LimitStrategy
 {
 public:
-    Shared(RequestLimit limit, std::size_t entries)
+    EqualShares(RequestLimit limit, std::size_t entries)
     {
         const auto share = 1 / static_cast<double>(entries);
         for (std::size_t i = 0; i < entries; ++i) {
             buckets_.emplace_back(limit.perSecond * share, std::max(1.0, limit.burst * share), start);
         }
     }
-    Answer ask(std::size_t entry, bool /*beginsProgram*/, TimePoint now) override
+    Admission admit(std::size_t entry, bool /*beginsProgram*/, TimePoint now) override
     {
         return {buckets_[entry].tryTake(1, now), Milliseconds(0)};
     }
@@ -146,12 +146,12 @@
     double worstExcess = 0;
 };
 
-//! Programs of some fifteen requests each at a share of the limit; a program that is refused anything has failed.
-class Run
+//! Simulates programs of several requests each at `load` times the limit. A program fails at its first refused request.
+class Simulation
 {
 public:
-    Run(Way &way, RequestLimit limit, double load, std::size_t entries, std::uint64_t seed)
-        : way_(way)
+    Simulation(LimitStrategy &strategy, RequestLimit limit, double load, std::size_t entries, std::uint64_t seed)
+        : strategy_(strategy)
         , limit_(limit)
         , load_(load)
         , entries_(entries)
@@ -159,15 +159,15 @@
     {
     }
 
-    Outcomes play(Milliseconds length)
+    Outcomes run(Milliseconds length)
     {
         const TimePoint end = start + warmUp + length;
         next_ = start + warmUp;
         while (next_ < end || !events_.empty()) {
             if (events_.empty() || (next_ < end && next_ < events_.top().at)) {
-                push(next_, turnsOfAProgram(), true);
+                schedule(next_, drawTurns(), true);
                 next_ += seconds(
-                    std::exponential_distribution<double>(load_ * limit_.perSecond / requestsAProgram)(random_));
+                    std::exponential_distribution<double>(load_ * limit_.perSecond / requestsPerProgram)(random_));
                 continue;
             }
             const Event event = events_.top();
@@ -178,7 +178,7 @@
     }
 
 private:
-    static constexpr double requestsAProgram = 5.4 * 2.3;
+    static constexpr double requestsPerProgram = 5.4 * 2.3;
     struct Event {
         TimePoint at;
         int turnsLeft = 0;
@@ -194,20 +194,20 @@
     {
         return std::chrono::microseconds(static_cast<std::int64_t>(value * 1e6) + 1);
     }
-    int turnsOfAProgram()
+    int drawTurns()
     {
         return random_() % 100 < 57 ? 4 : 7;
     }
-    void push(TimePoint at, int turnsLeft, bool isFirst)
+    void schedule(TimePoint at, int turnsLeft, bool isFirst)
     {
         events_.push({at, turnsLeft, isFirst});
     }
     bool send(TimePoint now, bool isFirst)
     {
         ++result_.requests;
-        const Answer answer = way_.ask(random_() % entries_, isFirst, now);
-        if (answer.isAdmitted) {
-            sent_.push_back(now + answer.delay);
+        const Admission admission = strategy_.admit(random_() % entries_, isFirst, now);
+        if (admission.isAdmitted) {
+            sent_.push_back(now + admission.delay);
             while (sent_.front() + tolerance.window <= now) {
                 sent_.pop_front();
             }
@@ -215,12 +215,12 @@
                 = (limit_.perSecond * 5 + limit_.burst) * (1 + tolerance.excessShare) + tolerance.excessRequests;
             result_.worstExcess = std::max(result_.worstExcess, static_cast<double>(sent_.size()) - allowed);
         }
-        return answer.isAdmitted;
+        return admission.isAdmitted;
     }
     void step(const Event &event)
     {
         result_.programs += event.isFirst ? 1 : 0;
-        // A turn and then its tools: 0.7, 0.4 and 0.2 of each kind in the mean.
+        // One turn followed by up to three tool calls, with these probabilities.
         bool isServed = send(event.at, event.isFirst);
         for (const unsigned percent : {70U, 40U, 20U}) {
             if (isServed && random_() % 100 < percent) {
@@ -230,12 +230,12 @@
         if (!isServed) {
             ++result_.failed;
         } else if (event.turnsLeft > 1) {
-            push(event.at + seconds(0.25 + std::exponential_distribution<double>(4)(random_)), event.turnsLeft - 1,
-                 false);
+            schedule(event.at + seconds(0.25 + std::exponential_distribution<double>(4)(random_)), event.turnsLeft - 1,
+                     false);
         }
     }
 
-    Way &way_;
+    LimitStrategy &strategy_;
     RequestLimit limit_;
     double load_;
     std::size_t entries_;
@@ -246,18 +246,18 @@
     Outcomes result_;
 };
 
-std::unique_ptr<Way> makeWay(std::string_view name, RequestLimit limit, std::size_t entries)
+std::unique_ptr<LimitStrategy> makeStrategy(std::string_view name, RequestLimit limit, std::size_t entries)
 {
     if (name == "counted, window") {
-        return std::make_unique<Counted>(limit, tolerance);
+        return std::make_unique<CentralCounter>(limit, tolerance);
     }
     if (name == "counted, bucket") {
-        return std::make_unique<Counted>(limit, LimitTolerance {});
+        return std::make_unique<CentralCounter>(limit, LimitTolerance {});
     }
     if (name == "lent") {
-        return std::make_unique<Lent>(limit, entries);
+        return std::make_unique<TokenLeasing>(limit, entries);
     }
-    return std::make_unique<Shared>(limit, entries);
+    return std::make_unique<EqualShares>(limit, entries);
 }
 
 } // namespace
@@ -271,11 +271,11 @@
             for (const double load : {0.625, 0.8, 1.0, 4.0}) {
                 for (const std::string_view name : {"counted, window", "counted, bucket", "lent", "equal shares"}) {
                     const RequestLimit limit {perSecond, perSecond};
-                    const std::unique_ptr<Way> way = makeWay(name, limit, entries);
-                    const Outcomes result = Run(*way, limit, load, entries, 1).play(length);
+                    const std::unique_ptr<LimitStrategy> strategy = makeStrategy(name, limit, entries);
+                    const Outcomes result = Simulation(*strategy, limit, load, entries, 1).run(length);
                     fmt::print("{}\t{}\t{}\t{}\t{:.2f}\t{:.2f}\t{:.0f}\n", name, entries, perSecond, load,
                                100.0 * static_cast<double>(result.failed) / static_cast<double>(result.programs),
-                               static_cast<double>(way->messages()) / static_cast<double>(result.requests),
+                               static_cast<double>(strategy->messages()) / static_cast<double>(result.requests),
                                result.worstExcess);
                 }
             }
--- a/benchmarks/cp_policies.bench.cpp
+++ b/benchmarks/cp_policies.bench.cpp
@@ -7,8 +7,8 @@
 #include <fstream>
 #include <thread>
 
-// Policies side by side under the users' loads, in virtual time with fixed seeds: bench_policies [TABLE.tsv].
-// Capacity is what the baseline finishes under more load than it can take.
+// Compares scheduling policies under several load profiles, in virtual time with fixed seeds.
+// Usage: bench_policies [TABLE.tsv]. Loads are relative to the capacity of the first policy pair, the baseline.
 
 namespace
 {
@@ -16,18 +16,18 @@
 using namespace cardamompost;
 using namespace cardamompost::bench;
 
-struct Pair {
+struct PolicyPair {
     std::string name;
     std::string queue;
     std::string placement;
 };
 
-const std::vector<Pair> pairs {{"fcfs+least-load", "first-come-first-served", "least-load"},
-                               {"fcfs+round-robin", "first-come-first-served", "round-robin"},
-                               {"fcfs+random", "first-come-first-served", "random"},
-                               {"ranked+least-load", "ranked-arrival", "least-load"},
-                               {"fcfs+warm-detour", "first-come-first-served", "warm-detour"},
-                               {"las+warm-detour", "least-attained-service", "warm-detour"}};
+const std::vector<PolicyPair> policyPairs {{"fcfs+least-load", "first-come-first-served", "least-load"},
+                                           {"fcfs+round-robin", "first-come-first-served", "round-robin"},
+                                           {"fcfs+random", "first-come-first-served", "random"},
+                                           {"ranked+least-load", "ranked-arrival", "least-load"},
+                                           {"fcfs+warm-detour", "first-come-first-served", "warm-detour"},
+                                           {"las+warm-detour", "least-attained-service", "warm-detour"}};
 
 constexpr double runSeconds = 200.0;
 constexpr double calibrationSeconds = 100.0;
@@ -51,7 +51,8 @@
     PolicyRunResult result;
 };
 
-PolicyRunResult runOne(const std::string &profile, const Pair &pair, double rate, double slowFactor, double seconds)
+PolicyRunResult runOne(const std::string &profile, const PolicyPair &pair, double rate, double slowFactor,
+                       double seconds)
 {
     PolicyRunOptions options;
     options.queuePolicy = pair.queue;
@@ -65,17 +66,17 @@
 
 double meanRateFactor(const std::string &profile)
 {
-    const cli::LoadProfile found = *cli::findProfile(profile);
-    return 1.0 + found.burstSeconds / found.burstEverySeconds * (found.burstFactor - 1.0);
+    const cli::LoadProfile loadProfile = *cli::findProfile(profile);
+    return 1.0 + loadProfile.burstSeconds / loadProfile.burstEverySeconds * (loadProfile.burstFactor - 1.0);
 }
 
-// Programs a second that keep all slots of the baseline in use, approached from below, since batches slow down as they
-// fill. Bursts are part of the load, so the rate that is asked for between them is lower by their share.
+// Programs per second that keep all slots of the baseline in use, bursts included. Approached from below, since larger
+// batches run slower.
 double measureCapacity(const std::string &profile)
 {
     double rate = 1.0;
     for (int round = 0; round < 4; ++round) {
-        const PolicyRunResult result = runOne(profile, pairs.front(), rate, 1.0, calibrationSeconds);
+        const PolicyRunResult result = runOne(profile, policyPairs.front(), rate, 1.0, calibrationSeconds);
         rate *= 0.9 / result.utilisation;
     }
     return rate / 0.9 * meanRateFactor(profile);
@@ -89,12 +90,12 @@
     for (const Row &row : rows) {
         const double recomputed = static_cast<double>(row.result.recomputedTokens)
             / static_cast<double>(std::max<std::int64_t>(1, row.result.promptTokens));
-        for (const auto &[name, numbers] : row.result.classes) {
+        for (const auto &[name, classResult] : row.result.classes) {
             out << fmt::format("{}\t{}\t{}\t{}\t{}\t{}\t{:.0f}\t{:.0f}\t{:.0f}\t{:.2f}\t{}\t{:.4f}\t{:.3f}\t{:.0f}\n",
-                               row.profile, row.policy, row.condition, row.load, name, numbers.workMs.size(),
-                               percentile(numbers.workMs, 0.5), percentile(numbers.workMs, 0.95),
-                               percentile(numbers.workMs, 0.99), percentile(numbers.stretch, 0.95), numbers.shedCalls,
-                               recomputed, row.result.finishedPerSecond, row.result.goodput);
+                               row.profile, row.policy, row.condition, row.load, name, classResult.workMs.size(),
+                               percentile(classResult.workMs, 0.5), percentile(classResult.workMs, 0.95),
+                               percentile(classResult.workMs, 0.99), percentile(classResult.stretch, 0.95),
+                               classResult.shedCalls, recomputed, row.result.finishedPerSecond, row.result.goodput);
         }
     }
 }
@@ -139,8 +140,8 @@
         threads.emplace_back([&] {
             for (std::size_t at = next++; at < rows.size(); at = next++) {
                 Row &row = rows[at];
-                const auto pair = std::find_if(pairs.begin(), pairs.end(),
-                                               [&](const Pair &item) { return item.name == row.policy; });
+                const auto pair = std::find_if(policyPairs.begin(), policyPairs.end(),
+                                               [&](const PolicyPair &item) { return item.name == row.policy; });
                 const double rate = row.load * capacities.at(row.profile) / meanRateFactor(row.profile);
                 row.result = runOne(row.profile, *pair, rate, row.condition == "even" ? 1.0 : 4.0, runSeconds);
             }
@@ -161,7 +162,7 @@
         capacities[profile] = measureCapacity(profile);
         std::cout << fmt::format("{}: {:.2f} programs a second fill the baseline\n", profile, capacities[profile])
                   << std::flush;
-        for (const Pair &pair : pairs) {
+        for (const PolicyPair &pair : policyPairs) {
             for (const double load : loads) {
                 rows.push_back({profile, pair.name, "even", load, {}});
             }
--- a/benchmarks/cp_policy_run.cpp
+++ b/benchmarks/cp_policy_run.cpp
@@ -62,7 +62,7 @@
     std::string warmReplica;
     TimePoint submitted {};
     double workMs = 0;
-    double boundMs = 0;
+    double idealMs = 0;
     std::int64_t promptTokens = 0;
 };
 
@@ -75,7 +75,7 @@
         engines_.push_back(std::make_unique<standin::EngineModel>(engineSettings(), static_cast<std::uint64_t>(i)));
     }
     engines_.front()->faults.slowFactor = options_.slowFactor;
-    wakes_.resize(engines_.size(), TimePoint::max());
+    wakeTimes_.resize(engines_.size(), TimePoint::max());
     inFlight_.resize(engines_.size());
     CallSchedulerOptions scheduler;
     scheduler.queueLimit = options_.queueLimit;
@@ -88,7 +88,7 @@
 
 PolicyRun::~PolicyRun() = default;
 
-void PolicyRun::at(TimePoint time, std::function<void()> action)
+void PolicyRun::schedule(TimePoint time, std::function<void()> action)
 {
     queue_.emplace(std::max(time, now_), std::move(action));
 }
@@ -96,7 +96,7 @@
 PolicyRunResult PolicyRun::run()
 {
     refreshReplicas();
-    arriveNext();
+    scheduleNextArrival();
     const TimePoint end = start_ + Milliseconds(static_cast<std::int64_t>(options_.seconds * 1000));
     while (!queue_.empty() && queue_.begin()->first <= end) {
         now_ = queue_.begin()->first;
@@ -122,17 +122,17 @@
     }
     scheduler_->setReplicas(std::move(views));
     place();
-    at(now_ + reportInterval, [this] { refreshReplicas(); });
+    schedule(now_ + reportInterval, [this] { refreshReplicas(); });
 }
 
-void PolicyRun::arriveNext()
+void PolicyRun::scheduleNextArrival()
 {
     const double seconds = toMilliseconds(now_ - start_) / 1000.0;
     const bool isBurst
         = profile_.burstEverySeconds > 0 && std::fmod(seconds, profile_.burstEverySeconds) < profile_.burstSeconds;
     const double rate = options_.programsPerSecond * (isBurst ? profile_.burstFactor : 1.0);
     const double gap = std::exponential_distribution<>(rate)(random_);
-    at(now_ + std::chrono::microseconds(static_cast<std::int64_t>(gap * 1e6)), [this] {
+    schedule(now_ + std::chrono::microseconds(static_cast<std::int64_t>(gap * 1e6)), [this] {
         std::vector<double> shares;
         for (const cli::LoadShape &shape : profile_.shapes) {
             shares.push_back(shape.share);
@@ -143,7 +143,7 @@
         program->id = "program-" + std::to_string(nextProgram_++);
         program->turnsLeft = program->shape.turns.draw(random_);
         startTurn(program);
-        arriveNext();
+        scheduleNextArrival();
     });
 }
 
@@ -216,11 +216,11 @@
 void PolicyRun::wakeEngine(std::size_t index)
 {
     const TimePoint next = engines_[index]->nextEvent();
-    if (next < wakes_[index]) {
-        wakes_[index] = next;
-        at(next, [this, index, next] {
-            if (wakes_[index] == next) {
-                wakes_[index] = TimePoint::max();
+    if (next < wakeTimes_[index]) {
+        wakeTimes_[index] = next;
+        schedule(next, [this, index, next] {
+            if (wakeTimes_[index] == next) {
+                wakeTimes_[index] = TimePoint::max();
                 runEngine(index);
             }
         });
@@ -256,8 +256,8 @@
     result_.promptTokens += call.promptTokens;
     result_.recomputedTokens
         += std::max<std::int64_t>(0, std::min(program->historyTokens, call.promptTokens) - call.cachedTokens);
-    const std::int64_t fresh = call.promptTokens - program->historyTokens;
-    program->boundMs += static_cast<double>(fresh) * settings.prefillMsPerToken
+    const std::int64_t newTokens = call.promptTokens - program->historyTokens;
+    program->idealMs += static_cast<double>(newTokens) * settings.prefillMsPerToken
         + static_cast<double>(produced) * settings.decodeMsPerToken;
     program->attainedTokens += call.promptTokens - call.cachedTokens + produced;
     program->historyTokens = call.promptTokens + produced;
@@ -267,14 +267,14 @@
     }
     program->messages.push_back(json::object {{"role", "assistant"}, {"content", answer}});
     if (program->turnsLeft > 0) {
-        at(now_ + Milliseconds(program->shape.pauseMs.draw(random_)), [this, program] { startTurn(program); });
+        schedule(now_ + Milliseconds(program->shape.pauseMs.draw(random_)), [this, program] { startTurn(program); });
         return;
     }
     ++finished_;
-    result_.goodput += program->boundMs;
+    result_.goodput += program->idealMs;
     ClassResult &result = result_.classes[program->shape.workClass];
     result.workMs.push_back(program->workMs);
-    result.stretch.push_back(program->workMs / program->boundMs);
+    result.stretch.push_back(program->workMs / program->idealMs);
     for (const auto &engine : engines_) {
         engine->release(program->id);
     }
--- a/benchmarks/cp_policy_run.hpp
+++ b/benchmarks/cp_policy_run.hpp
@@ -14,7 +14,7 @@
 namespace cardamompost::bench
 {
 
-//! One pair of policies under one load.
+//! Policies and load of one simulation run.
 struct PolicyRunOptions {
     std::string queuePolicy;
     std::string placementPolicy;
@@ -23,14 +23,14 @@
     double seconds = 300.0;
     std::uint64_t seed = 1;
     int replicas = 9;
-    //! One replica is this much slower than the others; 1 for none.
+    //! Slowdown factor of the first replica; 1 for none.
     double slowFactor = 1.0;
     std::size_t queueLimit = 400;
 };
 
 struct ClassResult {
     std::vector<double> workMs;
-    //! Work time over the bound of the same program: each call alone, with the whole history cached.
+    //! Time in calls divided by the program's ideal time, in which each call runs alone with its history cached.
     std::vector<double> stretch;
     std::uint64_t shedCalls = 0;
 };
@@ -38,16 +38,17 @@
 struct PolicyRunResult {
     std::map<std::string, ClassResult> classes;
     std::int64_t promptTokens = 0;
-    //! Of histories that some engine had computed and cached before.
+    //! Prompt tokens of earlier turns that were computed again because they were not cached.
     std::int64_t recomputedTokens = 0;
     double finishedPerSecond = 0;
-    //! Work of the programs that finished, each counted as its bound, in ms a second: what callers got out of it.
+    //! Ideal time of all finished programs, in milliseconds per second.
     double goodput = 0;
-    //! Mean share of the engines' slots that were in use.
+    //! Mean share of engine slots in use.
     double utilisation = 0;
 };
 
-//! Runs programs of a profile against engine models in virtual time, with one scheduler and reports that lag.
+//! Runs the programs of a load profile against engine models in virtual time, with one scheduler and delayed load
+//! reports.
 class PolicyRun
 {
 public:
@@ -61,8 +62,8 @@
 private:
     struct Program;
 
-    void at(TimePoint time, std::function<void()> action);
-    void arriveNext();
+    void schedule(TimePoint time, std::function<void()> action);
+    void scheduleNextArrival();
     void startTurn(const std::shared_ptr<Program> &program);
     void submit(const std::shared_ptr<Program> &program);
     void place();
@@ -80,7 +81,7 @@
     TimePoint now_ = start_;
     std::multimap<TimePoint, std::function<void()>> queue_;
     std::vector<std::unique_ptr<standin::EngineModel>> engines_;
-    std::vector<TimePoint> wakes_;
+    std::vector<TimePoint> wakeTimes_;
     std::vector<std::map<std::string, std::shared_ptr<Program>>> inFlight_;
     std::unique_ptr<CallScheduler> scheduler_;
     std::map<std::uint64_t, std::shared_ptr<Program>> waiting_;
--- a/benchmarks/cp_storage.bench.cpp
+++ b/benchmarks/cp_storage.bench.cpp
@@ -5,8 +5,8 @@
 
 #include <filesystem>
 
-// Synced writes of the log store against a bare loop of write and sync on the same disk, in the same run; the cost of
-// one entry, of recovery, and of an entry's place in memory.
+// Compares synced writes of the log store with a plain write-and-sync loop on the same disk; reports the append rate,
+// the recovery rate and the memory per entry.
 
 namespace
 {
@@ -18,7 +18,7 @@
 constexpr std::size_t entryBytes = 1024;
 constexpr int batches = 300;
 
-double bareSeconds(IFiles &files)
+double plainWriteSeconds(IFiles &files)
 {
     auto file = files.open("bare").value();
     const std::string bytes(batchBytes, 'x');
@@ -30,7 +30,7 @@
     });
 }
 
-double storeSeconds(LogStore &store, LogIndex &next)
+double storeWriteSeconds(LogStore &store, LogIndex &next)
 {
     const std::string payload(entryBytes, 'x');
     return secondsOf([&] {
@@ -53,18 +53,18 @@
         / ("cardamompost-bench-" + std::to_string(std::chrono::steady_clock::now().time_since_epoch().count()));
     cardamompost::bench::Bounds bounds;
     {
-        auto bareFiles = PosixFiles::openFolder((folder / "bare").string()).value();
+        auto plainFiles = PosixFiles::openFolder((folder / "bare").string()).value();
         auto files = PosixFiles::openFolder((folder / "store").string()).value();
         LogStore store = LogStore::open(*files).value();
         LogIndex next = 1;
-        storeSeconds(store, next);
-        const double bare = bareSeconds(*bareFiles);
-        const double stored = storeSeconds(store, next);
+        storeWriteSeconds(store, next);
+        const double plainWrite = plainWriteSeconds(*plainFiles);
+        const double storeWrite = storeWriteSeconds(store, next);
         const double mebibytes = batches * static_cast<double>(batchBytes) / (1U << 20U);
-        bounds.show("bare write and sync, 64 KiB", mebibytes / bare, "MiB/s");
-        bounds.show("log store, 64 KiB batches of 1 KiB entries", mebibytes / stored, "MiB/s");
-        bounds.show("synced appends", batches * static_cast<double>(batchBytes / entryBytes) / stored, "entries/s");
-        bounds.atLeast("byte rate of the log store against the bare loop", bare / stored, 0.7);
+        bounds.show("bare write and sync, 64 KiB", mebibytes / plainWrite, "MiB/s");
+        bounds.show("log store, 64 KiB batches of 1 KiB entries", mebibytes / storeWrite, "MiB/s");
+        bounds.show("synced appends", batches * static_cast<double>(batchBytes / entryBytes) / storeWrite, "entries/s");
+        bounds.atLeast("byte rate of the log store against the bare loop", plainWrite / storeWrite, 0.7);
         bounds.atLeast("entries a sync", static_cast<double>(batchBytes) / entryBytes, 20);
     }
     {
--- a/examples/02-embed-scheduler/main.cpp
+++ b/examples/02-embed-scheduler/main.cpp
@@ -1,5 +1,5 @@
-// Embeds the decision part of the library in a program of its own: no daemon, no threads, no sockets, and the
-// program's own idea of time.
+// Embeds the call scheduler in an application, without a daemon, threads or sockets. The application passes in the
+// time.
 
 #include <cardamompost/policy/cp_call_scheduler.hpp>
 #include <cardamompost/policy/cp_policy_registry.hpp>
@@ -11,7 +11,7 @@
 
 using namespace cardamompost;
 
-//! A policy of the embedding program: short answers first. One line below makes it choosable by its name.
+//! Custom queue policy that prefers short answers. The macro below registers it under `policyName`.
 struct ShortestAnswer {
     static constexpr std::string_view policyName = "shortest-answer";
     static constexpr bool usesRanks = true;
--- a/fuzzing/fuzz_call_request.cpp
+++ b/fuzzing/fuzz_call_request.cpp
@@ -4,7 +4,7 @@
 
 #include <cstdlib>
 
-// Callers' JSON, targets and engines' event streams: read without a crash; an accepted call survives its journal.
+// Parses request JSON, request targets and event streams. Accepted calls must survive a round trip through the codec.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     using namespace cardamompost;
--- a/fuzzing/fuzz_frame.cpp
+++ b/fuzzing/fuzz_frame.cpp
@@ -7,9 +7,9 @@
 namespace
 {
 
-// Buckets of news travel inside frames, as bytes of their own.
+// Buckets are encoded as byte strings inside frames.
 template<typename Buckets>
-void takeBucket(std::string_view bytes)
+void decodeBucket(std::string_view bytes)
 {
     Buckets buckets;
     if (buckets.take({{0, std::string(bytes)}})) {
@@ -19,7 +19,7 @@
 
 } // namespace
 
-// What comes from another process, and what logs hold, is read without a crash, and written again if it was read.
+// Decodes messages between processes and log records; frames, commands and state that decode are encoded again.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     using namespace cardamompost;
@@ -36,7 +36,7 @@
     }
     static_cast<void>(decodeRecord(bytes));
     static_cast<void>(ControlState::decode(bytes));
-    takeBucket<BackendBuckets>(bytes);
-    takeBucket<DocumentBuckets>(bytes);
+    decodeBucket<BackendBuckets>(bytes);
+    decodeBucket<DocumentBuckets>(bytes);
     return 0;
 }
--- a/fuzzing/fuzz_ini_document.cpp
+++ b/fuzzing/fuzz_ini_document.cpp
@@ -4,7 +4,8 @@
 
 #include <cstdlib>
 
-// Any text is read without a crash, and a document that is stored and shown again says the same.
+// Parses arbitrary text as a configuration and as settings. A valid document must survive a round trip through its
+// delta.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     using namespace cardamompost;
--- a/fuzzing/fuzz_platform.cpp
+++ b/fuzzing/fuzz_platform.cpp
@@ -5,7 +5,7 @@
 
 using namespace cardamompost;
 
-// Whatever the platform's list or an operator sends: it is read or refused, and what is read can be used.
+// Parses platform server lists and route documents. Accepted servers must have an id, a service and at least one slot.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const PlatformAdapter adapter;
--- a/fuzzing/soak.cpp
+++ b/fuzzing/soak.cpp
@@ -5,8 +5,8 @@
 #include <cstring>
 #include <iostream>
 
-// Runs the randomised fault simulations of the tests for a range of seeds. Stops at the first violation, prints its
-// seed and exits with status 1.
+// Runs the randomized fault simulations of the tests for a range of seeds. On the first violation, prints its seed and
+// exits with status 1.
 
 namespace
 {
