--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Benchmarks with bounds as ratios within one run: storage, decisions, and what the system adds to an engine that is
-# asked directly. tools/bench.sh
+# Runs the benchmarks of storage, placement decisions and added latency, with bounds on ratios within one run.
+# Usage: tools/bench.sh
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=build
--- a/tools/capacity.sh
+++ b/tools/capacity.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Measures what a node costs against the sizes that it grows with, on this machine with small stand-ins, and writes
-# docs/results/capacity.tsv (series, x, value), the fits in docs/results/capacity-fits.md and the plots beside them.
-# tools/capacity.sh [OUTPUT_FOLDER]; about six minutes. tools/capacity.sh --changes measures the changes of the document only, and
-# puts their rows in place of the old ones.
+# Measures resource use per node as the system grows, on one machine with stand-in engines. Writes
+# docs/results/capacity.tsv (series, x, value), the fits in docs/results/capacity-fits.md and their plots.
+# Usage: tools/capacity.sh [OUTPUT_FOLDER]
+# With --changes, measures configuration changes only and replaces their rows.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 part=all
@@ -64,11 +64,11 @@
     row change_in_force_everywhere_seconds "$1" "$(calc "$total / 5")"
 }
 
-changes() { # nodes: what a change of the document costs beyond idleness
+changes() { # nodes: cost of a configuration change above the idle load
     local leader count=60 cpu0 cpu1 lead0 lead1 bytes0 bytes1 t0 t1 idleCpu idleLead idleBytes
     leader=$(leader_number)
     sleep 1
-    # A window of idleness, then one of changes, with the same readings.
+    # Takes the same readings over an idle window and over a window of changes.
     for window in idle changes; do
         cpu0=$(sum_metric "$1" cardamompost_process_cpu_seconds)
         bytes0=$(sum_metric "$1" cardamompost_peer_bytes_sent)
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Everything that has to hold before a change lands: packages, build with warnings as errors, format, linter, tests,
-# fuzz targets and short benchmarks. Starts from a fresh machine; gives the same verdict every time.
+# Runs all checks required before merging: packages, build with warnings as errors, format, linter, tests, fuzz targets
+# and short benchmarks. Works on a fresh machine.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source tools/scripts/packages.sh
--- a/tools/drain.sh
+++ b/tools/drain.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Ends every VM of a system of five with SIGTERM, one after the other, under load, and starts it again. No call may be
-# cut, refused or left unknown by that: tools/drain.sh. Exit 0 only if all of it held.
+# Restarts the VMs of a system of five one by one with SIGTERM under load, and checks that no call is interrupted,
+# refused or left with an unknown outcome. Exits with 0 only if every check passes. Usage: tools/drain.sh
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=build
--- a/tools/experiment.sh
+++ b/tools/experiment.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the decision policies side by side in virtual time, writes docs/results/policies.tsv and plots of latency against
-# load, and fails when a bound is broken.
+# Compares the scheduling policies in virtual time, writes docs/results/policies.tsv and plots of latency against load,
+# and fails if a bound is exceeded.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake -S . -B build -G Ninja -DCMAKE_CXX_COMPILER_LAUNCHER=ccache -DCARDAMOMPOST_TESTS=ON >/dev/null
--- a/tools/faults.sh
+++ b/tools/faults.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Whole processes under load and faults: nine VMs in three failure domains, five of them keepers, engines and a service.
-# tools/faults.sh [SECONDS] [SEED] kills, freezes, restarts and wipes them, then checks every answer and history, how
-# often the service executed each request, and what the engines still hold. Exit 0 only if all of it held.
+# End-to-end fault injection on nine VMs in three failure domains, five of them keepers, with engines and a service.
+# Kills, freezes, restarts and wipes VMs under load, then checks answers, histories, executions per request and memory
+# held by engines. Exits with 0 only if every check passes. Usage: tools/faults.sh [SECONDS] [SEED]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seconds=${1:-60}
@@ -104,7 +104,7 @@
         frozen=$((frozen + 1))
         ;;
     3)
-        # One lost disk at a time, with time to be filled up again.
+        # Wipes one disk at a time and waits for it to be restored.
         keeper=$((RANDOM % 5 + 1))
         kill_vm $keeper
         rm -rf "$work/data-$keeper"
--- a/tools/gateway_ablation.py
+++ b/tools/gateway_ablation.py
@@ -18,7 +18,7 @@
 POOL = "src/gateway/cp_backend_pool.cpp"
 ENTRY = "src/gateway/cp_entry_server.cpp"
 
-# Name: file, what stands there, what stands there instead.
+# Name: (file, original text, replacement).
 OFF = {
     "elections by observed gaps": (SERVICE, "shortestElectionTimeout {100}", "shortestElectionTimeout {300}"),
     "a new leader tells entries": ("src/gateway/cp_ledger_client.cpp", "    watchMembers();\n", ""),
--- a/tools/gateway_days.py
+++ b/tools/gateway_days.py
@@ -20,13 +20,13 @@
 
 
 def days_of(site):
-    """Names of a site's days with trouble, in the file's order."""
+    """Returns the names of a site's days with faults, in file order."""
     names = re.findall(r'^\[\[day\]\]\s*^name = "([^"]+)"', pathlib.Path(site).read_text(), re.M)
     return [name for name in names if not name.startswith("quiet")]
 
 
 def play(bench, site, day, seed, why, with_cpu):
-    """One day; the worth, late and failed programs of all, and broken rules."""
+    """Runs one day and returns its worth, its late and failed programs, and broken rules."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         command = [bench, "run", site, day, "--jobs", "1", "--report", report.name, "--why", why]
         command += ["--seed", str(seed)] if seed else []
@@ -61,7 +61,7 @@
     plan = []
     for site in options.site:
         for day in options.days.split(",") if options.days else days_of(site):
-            # Seed 0 stands for the day's own.
+            # Seed 0 selects the seed defined by the day.
             plan += [(site, day, seed) for seed in range(options.seeds)]
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
         jobs = {item: pool.submit(play, options.bench, *item, options.why, options.cpu) for item in plan}
--- a/tools/interface.sh
+++ b/tools/interface.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Tries the HTTP interface of three VMs with good and bad requests, with TLS between the VMs: tools/interface.sh.
-# Each line names what is expected; exit 0 only if all of it held.
+# Tests the HTTP interface of three VMs with valid and invalid requests, with TLS between the VMs. Prints one line per
+# expectation and exits with 0 only if all are met. Usage: tools/interface.sh
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=build
@@ -80,7 +80,7 @@
 curl -s -d '{"cuts":2,"cut_after_tokens":2}' $base:22002/standin/faults >/dev/null
 expect "a call whose stream is cut is whole" '"completion_tokens":20' -H "$officer" -d '{"model":"stow-7b","messages":[{"role":"user","content":"cut me"}],"max_tokens":20}' $base:20002/v1/chat/completions
 
-# An attempt that no program knows of leaves something behind on an engine.
+# Creates state on an engine for a program that does not exist.
 curl -s -d '{"program":"feedfeedfeedfeedfeedfeedfeedfeed","messages":[{"role":"user","content":"x"}],"max_tokens":2}' $base:22000/v1/chat/completions >/dev/null
 for _ in $(seq 250); do
     curl -s $base:22000/v1/cache/programs | grep -q feedfeed || break
@@ -104,7 +104,7 @@
 tookMs=$((($(date +%s%N) - started) / 1000000))
 served=$(grep -c 200 "$work/codes" || true)
 refused=$(grep -c 429 "$work/codes" || true)
-# The rate is 20 a second, with 4 at once after a pause.
+# The limit is 20 requests per second with a burst of 4.
 allowed=$((20 * tookMs / 1000 + 5))
 echo "of 200 calls with a rate of 20 a second: $served served and $refused refused in $tookMs ms, allowed $allowed"
 [ $((served + refused)) = 200 ] && [ "$served" -le "$allowed" ] && [ "$served" -gt 0 ] || failures=$((failures + 1))
--- a/tools/quickstart.sh
+++ b/tools/quickstart.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Shows the system at work on one machine: three VMs, three engines and a service as plain processes on loopback.
-# Installs, builds, runs programs, kills the owner of one between two of its turns, and checks what came of it.
-# Ends by itself; exit 0 only if all of it held.
+# Runs a demonstration on one machine: three VMs, three engines and a service as processes on loopback. Installs
+# packages, builds, runs programs, kills the owner of one between two turns and checks the results.
+# Exits with 0 only if every check passes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source tools/scripts/packages.sh
--- a/tools/scripts/check_deploy_build.sh
+++ b/tools/scripts/check_deploy_build.sh
@@ -1,9 +1,8 @@
 #!/usr/bin/env bash
-# Configures the build of deploy/system.toml while everything that its list of packages does not bring is out of reach.
+# Checks that the build of deploy/system.toml needs only the packages that the file lists.
 #
-# The users' machines have only the packages on that list. A build that asks for one more is green on every machine
-# where the tests were built before, and fails on theirs. So each library that CMake asks for has to be named below
-# with its package, and that package has to be on the list; what only tests use is made unfindable.
+# Deployment machines have only these packages. Each library that CMake looks for must be mapped to a package below, and
+# that package must be listed in deploy/system.toml. Libraries used only by tests are hidden from CMake.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 folder=${1:-build/deploy-check}
@@ -16,7 +15,7 @@
 configure=$(sed -n 's/^build = "\(cmake [^"]*\) && ninja.*"$/\1/p' deploy/system.toml)
 [ -n "$configure" ] || { echo "the build of deploy/system.toml could not be read"; exit 1; }
 
-# What CMake may ask for, and the package that brings it.
+# Maps each library that CMake may look for to its package.
 declare -A package_of=(
     [Boost]=libboost1.81-dev [boost_headers]=libboost1.81-dev [boost_program_options]=libboost-program-options1.81-dev
     [boost_json]=libboost-json1.81-dev [boost_container]=libboost-json1.81-dev [spdlog]=libspdlog-dev [fmt]=libfmt-dev
--- a/tools/scripts/check_docs.sh
+++ b/tools/scripts/check_docs.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Compares pages with the code: check_docs.sh BUILD_FOLDER. Keys of the configuration, kinds of errors, measured tables.
+# Checks that the documentation matches the code: configuration keys, error kinds, log events, metrics, result tables.
+# Usage: check_docs.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 build=$1
@@ -29,7 +30,7 @@
     }
 done <<<"$kinds"
 python3 tools/scripts/capacity_page.py docs/results/capacity.tsv docs/CAPACITY.md --check || status=1
-# Events of the gateway's logs: those of the code and those of the page are the same.
+# The gateway's log events must match docs/LOGS.md.
 events=$(grep -hoE '"[a-z]+\.[a-z_]+"' src/gateway/*.cpp src/daemon/cp_disk_thread.cpp src/cardamompost/observe/cp_log_pipe.cpp | tr -d '"' | sort -u)
 events=$(printf '%s\nlog.dropped' "$events" | grep -vE '^(std|fmt)\.' | sort -u)
 pages=$(grep -oE '`[a-z]+\.[a-z_]+`' docs/LOGS.md | tr -d '`' | sort -u)
@@ -39,13 +40,13 @@
     cat build/log_events.diff
     status=1
 }
-# The users' platform is named in platform/, deploy/ and their tests only.
+# Names specific to the platform may appear only in platform/, deploy/ and their tests.
 names='Request-Id|Previous-Turn|Token-Budget|Token-Usage|Deadline-Milliseconds|Expected-Instance|Not-Executed|Server-Signature|Server-Load|Kv-From|Program-Time-Left|/cardamompost/(readiness|resolution|configuration|retire)|retains-context|path-prefix|instances\?'
 git grep -nE "$names" -- include src examples benchmarks tools ':!tools/scripts/check_docs.sh' && {
     echo "a name of the users' platform stands outside of platform/"
     status=1
 }
-# Metrics of the gateway: those of the code and those of the page are the same.
+# The gateway's metrics must match docs/LOGS.md.
 metrics=$(grep -hoE '"cardamompost_[a-z_]+"' src/gateway/*.cpp src/daemon/cp_disk_thread.cpp | tr -d '"' | sort -u)
 [ "$(echo "$metrics" | wc -l)" -ge 20 ] || { echo "the gateway's metrics could not be read"; status=1; }
 diff <(echo "$metrics") <(grep -oE 'cardamompost_[a-z_]+' docs/LOGS.md | sort -u) >build/metrics.diff || {
--- a/tools/scripts/first_token.py
+++ b/tools/scripts/first_token.py
@@ -9,7 +9,7 @@
 import time
 
 ROUNDS = 400
-# A bound against regressions, with an engine that answers in 2.6 ms; the goal of 1 ms added is not met yet.
+# Regression bound on the ratio of the median time through the system to the direct one.
 LARGEST_RATIO = 3.5
 BODY = {"model": "stow-7b", "messages": [{"role": "user", "content": "draft the stowage"}], "max_tokens": 4, "stream": True}
 
--- a/tools/scripts/fuzz.sh
+++ b/tools/scripts/fuzz.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Builds the fuzz targets with clang and runs each for a bounded number of inputs with a fixed seed: fuzz.sh [RUNS].
+# Builds the fuzz targets with clang and runs each for a bounded number of inputs with a fixed seed.
+# Usage: fuzz.sh [RUNS]
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 runs=${1:-20000}
@@ -7,7 +8,7 @@
 mkdir -p $out
 flags=(-std=c++20 -O1 -g -fsanitize=fuzzer,address,undefined -fno-sanitize-recover=undefined -I. -Iinclude -isystem schema/generated
     -DSPDLOG_FMT_EXTERNAL)
-# The parts that the targets reach; none of them uses coroutines, which clang 14 can't read from g++ 12's library.
+# Sources used by the targets. None uses coroutines, which clang 14 cannot compile with the library of g++ 12.
 sources=(src/cardamompost/core/*.cpp src/cardamompost/accounts/*.cpp src/cardamompost/config/*.cpp src/cardamompost/control/cp_control_*.cpp
     src/cardamompost/consensus/cp_membership.cpp src/cardamompost/program/*.cpp src/cardamompost/policy/cp_policy_registry.cpp
     src/plugins/*.cpp src/cardamompost/net/cp_frame.cpp src/cardamompost/net/cp_frame_encoder.cpp
--- a/tools/scripts/local_system.sh
+++ b/tools/scripts/local_system.sh
@@ -1,5 +1,5 @@
-# Starts and stops a system of plain processes on loopback for measurements. Sourced by the scripts in tools.
-# Needs: $build, $work. Uses the ports from 20000 on.
+# Starts and stops a system of processes on loopback for measurements. Sourced by the scripts in tools.
+# Requires $build and $work; uses ports from 20000 upwards.
 declare -A pids=()
 domains=(apapa tincan onne)
 
--- a/tools/scripts/packages.sh
+++ b/tools/scripts/packages.sh
@@ -1,4 +1,4 @@
-# Installs what building and testing need, if something is missing. Sourced by the scripts beside it.
+# Installs missing build and test dependencies. Sourced by other scripts.
 packages="g++ cmake ninja-build ccache mold clang clang-format clang-tidy libclang-rt-14-dev capnproto libcapnp-dev
 libboost1.81-dev libboost-program-options1.81-dev libboost-test1.81-dev libboost-json1.81-dev libspdlog-dev libfmt-dev
 libxxhash-dev libssl-dev libbenchmark-dev curl openssl python3-minimal gnuplot-nox"
--- a/tools/scripts/tidy.sh
+++ b/tools/scripts/tidy.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# clang-tidy over the library, the plug-ins and the programs: tools/scripts/tidy.sh BUILD_FOLDER [FILE...].
-# clang 14 can't read the coroutines of g++ 12's library, so sources that use them are left to the compiler's warnings.
+# Runs clang-tidy on the library, the plug-ins and the programs. Usage: tools/scripts/tidy.sh BUILD_FOLDER [FILE...]
+# Skips sources with coroutines, which clang 14 cannot compile with the library of g++ 12.
 set -euo pipefail
 build=$1
 shift
 mkdir -p "$build/tidy"
-# The commands without what belongs to g++ alone: its precompiled header and its warnings.
+# Removes options specific to g++ from the compile commands.
 sed -e 's/ -Winvalid-pch -include [^ ]*cmake_pch.hxx//; s/ -Wno-restrict//; s/ccache //' "$build/compile_commands.json" >"$build/tidy/compile_commands.json"
 if [ $# -gt 0 ]; then
     files=("$@")
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs the randomised failures with many seeds, on all cores: tools/soak.sh [SEEDS] [FIRST]. A failing seed is printed.
+# Runs the randomized fault simulations for many seeds on all cores and prints a failing seed.
+# Usage: tools/soak.sh [SEEDS] [FIRST]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seeds=${1:-400}
--- a/tools/what_binds.py
+++ b/tools/what_binds.py
@@ -17,17 +17,17 @@
 import sys
 from datetime import datetime
 
-# Programs pause for tools between two requests, and before they try again; longer pauses are lost time.
+# Normal pause between two requests, for tools or before a retry; longer pauses count as lost time.
 USUAL_PAUSE_MS = 120
-# Lost time under this explains nothing.
+# Shorter losses are not attributed to a cause.
 LEAST_LOSS_MS = 30
-# How far around an interval a notice in the logs still explains it.
+# Margin around an interval in which log events are considered related to it.
 NOTICE_MARGIN_MS = 400
-# An entry without news for longer has only just started.
+# A larger update age means that the entry has just started.
 LONGEST_WITHOUT_LEADER_MS = 20_000
-# An entry that was silent for so many of its usual gaps between two lines was lost or stood still.
+# Silence, in multiples of an entry's usual gap between log lines, after which it counts as failed.
 SILENT_GAPS = 18
-# Most of the entries silent at once: everything was off.
+# Share of silent entries above which the whole system counts as down.
 ALL_OFF_SHARE = 0.6
 
 CAUSES = {
@@ -45,7 +45,7 @@
 
 
 def usual_gap(times):
-    """The median gap between two lines, in milliseconds."""
+    """Returns the median gap between two log lines, in milliseconds."""
     return statistics.median(later - earlier for earlier, later in zip(times, times[1:])) if len(times) > 1 else 0
 
 
@@ -65,11 +65,11 @@
 class Day:
     def __init__(self, path):
         self.programs = collections.defaultdict(list)
-        # Times of each VM's own lines, to see when it was silent, and of the ledger's notices.
+        # Times of each VM's log lines, to detect silence, and of the ledger's events.
         self.seen = collections.defaultdict(list)
         self.ledger = []
         self.leaders = []
-        # Times in which a VM's process was not run, as it said afterwards.
+        # Intervals in which a VM's process was stalled, as reported by the process afterwards.
         self.stalls = collections.defaultdict(list)
         for event in read_lines(path):
             self.take(event)
@@ -87,7 +87,7 @@
             event["due"] = event["from"] + event["left_ms"]
             self.programs[event["program"]].append(event)
         elif kind in ("ledger.lost", "ledger.found"):
-            # A process that has just started counts its news from long before; it had lost nobody.
+            # Just after a start, the update age includes the time before the start and indicates no lost leader.
             age = event.get("news_age_ms", 0)
             self.ledger.append([event["at"] - (age if age < LONGEST_WITHOUT_LEADER_MS else 0), event["at"]])
         elif kind == "process.stalled":
@@ -108,9 +108,9 @@
         return near or any(start - NOTICE_MARGIN_MS <= at <= end + NOTICE_MARGIN_MS for at in self.leaders)
 
     def silent_entries(self, start, end):
-        """Entries that wrote nothing within an interval, and for much longer around it than they usually do.
+        """Returns the number of entries without a log line in an interval and for much longer than usual around it.
 
-        Hundreds of entries write a few lines a second each: some are always without one for a moment, and say nothing by it.
+        Comparing with the usual gap excludes entries that merely log rarely.
         """
         silent = 0
         for vm, times in self.seen.items():
@@ -129,7 +129,7 @@
         return "entry" if silent else ("ledger" if self.lost_leader(start, end) else "way")
 
     def losses_of(self, request):
-        """Lost time of one request, by cause."""
+        """Returns the lost time of one request by cause."""
         is_turn = "waited_ms" in request
         waited = request.get("waited_ms", 0)
         start, end = request["from"], request["at"]
@@ -161,7 +161,7 @@
             covered = max(covered, request["at"])
             for cause, ms in self.losses_of(request):
                 lost[cause] += ms
-        # A caller that never came back: its last request is the end of what is known.
+        # The caller did not return, so nothing is recorded after its last request.
         due = statistics.median(request["due"] for request in requests)
         last = max(requests, key=lambda request: request["at"])
         if last["at"] < due and last["status"] != 200:
