--- a/src/standin/cp_engine_model.cpp
+++ b/src/standin/cp_engine_model.cpp
@@ -17,34 +17,34 @@
 {
 
 constexpr std::size_t maxCalls = 20'000;
-constexpr std::size_t maxCancelled = 20'000;
+constexpr std::size_t maxCancelledIds = 20'000;
 constexpr std::size_t maxEvents = 10'000;
-constexpr std::size_t maxLoads = 1'000;
+constexpr std::size_t maxLoadSamples = 1'000;
 constexpr std::int64_t messageTokens = 4;
 
 constexpr std::array<std::string_view, 24> vocabulary {
     "hold",  "two",   "trim",   "ballast", "berth",  "grain", "clinker", "draft", "survey", "gate", "bank", "stand",
     "crane", "hatch", "loaded", "level",   "before", "after", "check",   "plan",  "shift",  "port", "aft",  "forward"};
 
-Milliseconds toTime(double ms)
+Milliseconds toMilliseconds(double ms)
 {
     return Milliseconds(static_cast<std::int64_t>(std::max(1.0, ms)));
 }
 
-std::string contentOf(const json::value &message)
+std::string messageContent(const json::value &message)
 {
     const json::value &content = message.at("content");
     return content.is_string() ? std::string(content.as_string()) : json::serialize(content);
 }
 
-// The same prompt always gets the same answer, so that a resumed or repeated generation can be compared.
-std::vector<std::string> makeAnswer(std::uint64_t identity, std::int64_t maxTokens)
+// Deterministic in the prompt, so that a resumed or repeated generation can be compared with the first one.
+std::vector<std::string> makeAnswer(std::uint64_t prefixHash, std::int64_t maxTokens)
 {
     std::vector<std::string> words;
-    const std::int64_t length = std::min<std::int64_t>(maxTokens, 20 + static_cast<std::int64_t>(identity % 60));
+    const std::int64_t length = std::min<std::int64_t>(maxTokens, 20 + static_cast<std::int64_t>(prefixHash % 60));
     for (std::int64_t i = 0; i < length; ++i) {
-        const std::uint64_t pick = stableHash(std::to_string(i), identity);
-        words.push_back(fmt::format("{}{}", i == 0 ? "" : " ", vocabulary[pick % vocabulary.size()]));
+        const std::uint64_t hash = stableHash(std::to_string(i), prefixHash);
+        words.push_back(fmt::format("{}{}", i == 0 ? "" : " ", vocabulary[hash % vocabulary.size()]));
     }
     return words;
 }
@@ -56,9 +56,9 @@
     std::int64_t tokens = 0;
     bool inWord = false;
     for (const char c : text) {
-        const bool isUninitialized = c == ' ' || c == '\n' || c == '\t';
-        tokens += !isUninitialized && !inWord ? 1 : 0;
-        inWord = !isUninitialized;
+        const bool isSpace = c == ' ' || c == '\n' || c == '\t';
+        tokens += !isSpace && !inWord ? 1 : 0;
+        inWord = !isSpace;
     }
     return tokens;
 }
@@ -80,18 +80,18 @@
     if (faults.refuses || faults.isLeaving) {
         return false;
     }
-    std::uint64_t identity = 0;
+    std::uint64_t prefixHash = 0;
     for (const json::value &message : messages) {
-        const std::string content = contentOf(message);
-        identity = stableHash(content, stableHash(std::string(message.at("role").as_string()), identity));
+        const std::string content = messageContent(message);
+        prefixHash = stableHash(content, stableHash(std::string(message.at("role").as_string()), prefixHash));
         call.promptTokens += countTokens(content) + messageTokens;
-        call.prefixes.emplace_back(identity, call.promptTokens);
+        call.prefixes.emplace_back(prefixHash, call.promptTokens);
     }
     call.arrived = now;
-    call.words = makeAnswer(identity, call.maxTokens);
+    call.words = makeAnswer(prefixHash, call.maxTokens);
     order_.push_back(call.id);
-    const auto place = calls_.emplace(call.id, std::move(call)).first;
-    active_.emplace(place->first, &place->second);
+    const auto inserted = calls_.emplace(call.id, std::move(call)).first;
+    active_.emplace(inserted->first, &inserted->second);
     while (order_.size() > maxCalls && calls_.at(order_.front()).isDone) {
         calls_.erase(order_.front());
         order_.pop_front();
@@ -110,9 +110,9 @@
 {
     const auto found = calls_.find(id);
     if (found == calls_.end()) {
-        // Remembered, so that an attempt that arrives after its cancellation is refused.
+        // Rejects an attempt that arrives after its cancellation.
         cancelledBefore_.insert(id);
-        if (cancelledBefore_.size() > maxCancelled) {
+        if (cancelledBefore_.size() > maxCancelledIds) {
             cancelledBefore_.erase(cancelledBefore_.begin());
         }
         return;
@@ -133,17 +133,17 @@
 Milliseconds EngineModel::decodeTime() const
 {
     const double slowdown = 1.0 + settings_.batchSlowdown * std::max(0, countRunning() - 1);
-    return toTime(settings_.decodeMsPerToken * slowdown * faults.slowFactor);
+    return toMilliseconds(settings_.decodeMsPerToken * slowdown * faults.slowFactor);
 }
 
-void EngineModel::startWaiting(TimePoint now)
+void EngineModel::startWaitingCalls(TimePoint now)
 {
     int running = countRunning();
     while (running < settings_.slots && !faults.hangs) {
         EngineCall *next = nullptr;
         for (const auto &[id, call] : active_) {
-            const auto place = [](const EngineCall &c) { return std::tuple(c.priority, c.arrived, c.id); };
-            if (!call->isRunning && (next == nullptr || place(*call) < place(*next))) {
+            const auto queueOrder = [](const EngineCall &c) { return std::tuple(c.priority, c.arrived, c.id); };
+            if (!call->isRunning && (next == nullptr || queueOrder(*call) < queueOrder(*next))) {
                 next = call;
             }
         }
@@ -157,24 +157,25 @@
 
 void EngineModel::startCall(EngineCall &call, TimePoint now)
 {
-    std::int64_t everTokens = 0;
-    for (const auto &[identity, tokens] : call.prefixes) {
-        const auto cached = cache_.find(identity);
+    std::int64_t previouslyCachedTokens = 0;
+    for (const auto &[prefixHash, tokens] : call.prefixes) {
+        const auto cached = cache_.find(prefixHash);
         if (cached != cache_.end()) {
             call.cachedTokens = tokens;
-            held_[cached->second.program].used = now;
+            cachedPrograms_[cached->second.program].lastUsed = now;
         }
-        everTokens = everCached_.contains(identity) ? tokens : everTokens;
+        previouslyCachedTokens = everCached_.contains(prefixHash) ? tokens : previouslyCachedTokens;
     }
     call.isRunning = true;
-    const auto fresh = static_cast<double>(call.promptTokens - call.cachedTokens);
-    call.nextToken = now + toTime(fresh * settings_.prefillMsPerToken * faults.slowFactor) + decodeTime();
+    const auto uncachedTokens = static_cast<double>(call.promptTokens - call.cachedTokens);
+    call.nextToken
+        = now + toMilliseconds(uncachedTokens * settings_.prefillMsPerToken * faults.slowFactor) + decodeTime();
     ++totals_.calls;
     totals_.promptTokens += call.promptTokens;
     totals_.cachedTokens += call.cachedTokens;
-    totals_.recomputedTokens += std::max<std::int64_t>(0, everTokens - call.cachedTokens);
-    for (const auto &[identity, tokens] : call.prefixes) {
-        cachePrefix(identity, call.program, tokens, now);
+    totals_.recomputedTokens += std::max<std::int64_t>(0, previouslyCachedTokens - call.cachedTokens);
+    for (const auto &[prefixHash, tokens] : call.prefixes) {
+        cachePrefix(prefixHash, call.program, tokens, now);
     }
 }
 
@@ -186,23 +187,23 @@
     for (const std::string &word : call.words) {
         answer += word;
     }
-    // The answer is part of the next prompt's prefix.
-    const std::uint64_t identity
+    // The next prompt of the program starts with this answer.
+    const std::uint64_t prefixHash
         = stableHash(answer, stableHash("assistant", call.prefixes.empty() ? 0 : call.prefixes.back().first));
     const auto length = static_cast<std::int64_t>(call.words.size());
-    cachePrefix(identity, call.program, call.promptTokens + length + messageTokens, now);
+    cachePrefix(prefixHash, call.program, call.promptTokens + length + messageTokens, now);
     totals_.completionTokens += length;
 }
 
 void EngineModel::run(TimePoint now)
 {
-    startWaiting(now);
+    startWaitingCalls(now);
     for (auto item = active_.begin(); item != active_.end();) {
         advance(*item->second, now);
         item = item->second->isDone ? active_.erase(item) : std::next(item);
     }
-    startWaiting(now);
-    noteLoad(now);
+    startWaitingCalls(now);
+    recordLoad(now);
 }
 
 void EngineModel::advance(EngineCall &call, TimePoint now)
@@ -232,40 +233,41 @@
     return next;
 }
 
-void EngineModel::cachePrefix(std::uint64_t identity, const std::string &program, std::int64_t tokens, TimePoint now)
+void EngineModel::cachePrefix(std::uint64_t prefixHash, const std::string &program, std::int64_t tokens, TimePoint now)
 {
-    const auto [place, isNew] = cache_.try_emplace(identity, CachedPrefix {program, tokens});
-    everCached_.insert(identity);
-    // A program's longest prefix is what its cache takes; shorter ones are parts of it.
-    Held &held = held_[place->second.program];
-    held.used = now;
+    const auto [cacheEntry, isNew] = cache_.try_emplace(prefixHash, CachedPrefix {program, tokens});
+    everCached_.insert(prefixHash);
+    // Shorter prefixes of a program share the storage of its longest one.
+    CachedProgram &held = cachedPrograms_[cacheEntry->second.program];
+    held.lastUsed = now;
     if (isNew) {
-        held.prefixes.push_back(identity);
+        held.prefixes.push_back(prefixHash);
         cacheUsed_ += std::max<std::int64_t>(0, tokens - held.tokens);
         held.tokens = std::max(held.tokens, tokens);
-        note("stored", program, tokens, now);
+        recordEvent("stored", program, tokens, now);
         evict(now);
     }
 }
 
 void EngineModel::evict(TimePoint now)
 {
-    while (cacheUsed_ > settings_.cacheTokens && held_.size() > 1) {
-        const auto oldest = std::min_element(
-            held_.begin(), held_.end(), [](const auto &a, const auto &b) { return a.second.used < b.second.used; });
-        note("evicted", oldest->first, oldest->second.tokens, now);
+    while (cacheUsed_ > settings_.cacheTokens && cachedPrograms_.size() > 1) {
+        const auto oldest
+            = std::min_element(cachedPrograms_.begin(), cachedPrograms_.end(),
+                               [](const auto &a, const auto &b) { return a.second.lastUsed < b.second.lastUsed; });
+        recordEvent("evicted", oldest->first, oldest->second.tokens, now);
         release(std::string(oldest->first));
     }
 }
 
 void EngineModel::release(const std::string &program)
 {
-    const auto held = held_.extract(program);
+    const auto held = cachedPrograms_.extract(program);
     if (held.empty()) {
         return;
     }
-    for (const std::uint64_t identity : held.mapped().prefixes) {
-        cache_.erase(identity);
+    for (const std::uint64_t prefixHash : held.mapped().prefixes) {
+        cache_.erase(prefixHash);
     }
     cacheUsed_ -= held.mapped().tokens;
 }
@@ -273,7 +275,7 @@
 std::map<std::string, std::int64_t> EngineModel::heldPrograms() const
 {
     std::map<std::string, std::int64_t> programs;
-    for (const auto &[program, held] : held_) {
+    for (const auto &[program, held] : cachedPrograms_) {
         programs[program] = held.tokens;
     }
     return programs;
@@ -282,9 +284,9 @@
 json::array EngineModel::exportCache(const std::string &program) const
 {
     json::array prefixes;
-    for (const auto &[identity, prefix] : cache_) {
+    for (const auto &[prefixHash, prefix] : cache_) {
         if (prefix.program == program) {
-            prefixes.push_back(json::array {std::to_string(identity), prefix.tokens});
+            prefixes.push_back(json::array {std::to_string(prefixHash), prefix.tokens});
         }
     }
     return prefixes;
@@ -297,7 +299,7 @@
     }
 }
 
-void EngineModel::note(std::string kind, const std::string &program, std::int64_t tokens, TimePoint now)
+void EngineModel::recordEvent(std::string kind, const std::string &program, std::int64_t tokens, TimePoint now)
 {
     const std::uint64_t number = nextEvent_++;
     if (std::uniform_real_distribution<>(0.0, 1.0)(random_) < settings_.eventLoss) {
@@ -322,15 +324,15 @@
 
 bool EngineModel::order(const std::string &text, std::uint64_t fencing)
 {
-    if (settings_.checksFencing && fencing < highestFencing_) {
+    if (settings_.checksFencing && fencing < highestFencingToken_) {
         return false;
     }
-    highestFencing_ = std::max(highestFencing_, fencing);
+    highestFencingToken_ = std::max(highestFencingToken_, fencing);
     orders_.push_back(text);
     return true;
 }
 
-void EngineModel::noteLoad(TimePoint now)
+void EngineModel::recordLoad(TimePoint now)
 {
     Load load;
     load.at = now;
@@ -338,7 +340,7 @@
     load.running = countRunning();
     load.waiting = static_cast<int>(active_.size()) - load.running;
     loads_.push_back(load);
-    if (loads_.size() > maxLoads) {
+    if (loads_.size() > maxLoadSamples) {
         loads_.pop_front();
     }
 }
--- a/src/standin/cp_engine_model.hpp
+++ b/src/standin/cp_engine_model.hpp
@@ -15,34 +15,35 @@
 namespace cardamompost::standin
 {
 
-//! Speeds and sizes of the engine that is stood in for.
+//! Performance model of a simulated engine.
 struct EngineSettings {
     int slots = 8;
     double prefillMsPerToken = 0.02;
     double decodeMsPerToken = 4.0;
-    //! Share by which each further call in the batch slows the decoding of all.
+    //! Relative increase of the decode time for each additional call in the batch.
     double batchSlowdown = 0.03;
     std::int64_t cacheTokens = 200'000;
     bool checksFencing = true;
     Milliseconds loadLag {200};
     Milliseconds eventLag {300};
-    //! Share of cache events that are never published.
+    //! Fraction of cache events that are lost instead of published.
     double eventLoss = 0.05;
 };
 
-//! Misbehaviour that a test asks for.
+//! Faults that a test injects.
 struct EngineFaults {
     double slowFactor = 1.0;
     bool hangs = false;
     bool refuses = false;
     bool isLeaving = false;
-    //! The next streams are cut after this many tokens; 0 for none.
+    //! Tokens after which a stream is cut.
     int cutAfterTokens = 0;
+    //! Number of streams still to be cut; 0 disables the fault.
     int cutsLeft = 0;
     Milliseconds answerDelay {0};
 };
 
-//! One attempt that the engine was given.
+//! An attempt submitted to the engine, and its progress.
 struct EngineCall {
     std::string id;
     std::string program;
@@ -52,7 +53,7 @@
     std::int64_t promptTokens = 0;
     std::int64_t cachedTokens = 0;
     std::int64_t maxTokens = 0;
-    //! Identities of the prompt's prefixes, one a message, for the cache.
+    //! Hash and length in tokens of each prefix of the prompt, one per message.
     std::vector<std::pair<std::uint64_t, std::int64_t>> prefixes;
     std::vector<std::string> words;
     std::size_t produced = 0;
@@ -62,7 +63,7 @@
     TimePoint nextToken {};
 };
 
-//! Something that happened in an engine's cache.
+//! A change of an engine's prefix cache.
 struct CacheEvent {
     std::uint64_t number = 0;
     std::string kind;
@@ -71,31 +72,31 @@
     TimePoint at {};
 };
 
-//! A model engine without a model: continuous batching, a prefix cache of bounded size, priorities, streams that can
-//! be resumed and cancelled. Time is passed in, so that it runs in virtual time too. Thread-safety: none.
+//! Simulates a model engine: continuous batching, a bounded prefix cache, priorities, and streams that can be resumed
+//! and cancelled. The caller passes the time, so it also runs in virtual time. Not thread-safe.
 class EngineModel
 {
 public:
     EngineModel(EngineSettings settings, std::uint64_t seed);
 
-    //! Takes an attempt. A known id is the same attempt again. False: it was cancelled before, or is refused.
+    //! Queues an attempt; idempotent in its id. \returns false if the attempt was cancelled earlier or is refused
     bool submit(EngineCall call, const boost::json::array &messages, TimePoint now);
-    //! Null for an unknown one.
+    //! \returns null for an unknown id
     [[nodiscard]] const EngineCall *find(const std::string &id) const;
     void cancel(const std::string &id);
-    //! Advances all calls to a time.
+    //! Advances all calls to the given time.
     void run(TimePoint now);
-    //! When something happens next; the far future when nothing does.
+    //! Time of the next token; TimePoint::max() if none is due.
     [[nodiscard]] TimePoint nextEvent() const;
 
     void release(const std::string &program);
     [[nodiscard]] std::map<std::string, std::int64_t> heldPrograms() const;
     [[nodiscard]] boost::json::array exportCache(const std::string &program) const;
     void importCache(const std::string &program, const boost::json::array &prefixes, TimePoint now);
-    //! Events behind a number that have been published by now.
+    //! Events with a higher number than the given one that are published at the given time.
     [[nodiscard]] std::vector<CacheEvent> eventsAfter(std::uint64_t number, TimePoint now) const;
 
-    //! False for an order with a fencing number below one that was seen, where the engine checks.
+    //! Records an order. \returns false if fencing is checked and the token is lower than one already seen
     bool order(const std::string &text, std::uint64_t fencing);
 
     struct Load {
@@ -104,7 +105,7 @@
         std::int64_t cacheUsed = 0;
         TimePoint at {};
     };
-    //! The load as it was a while ago.
+    //! The load as of `loadLag` before the given time.
     [[nodiscard]] Load reportedLoad(TimePoint now) const;
 
     EngineFaults faults;
@@ -114,7 +115,7 @@
         std::int64_t promptTokens = 0;
         std::int64_t cachedTokens = 0;
         std::int64_t completionTokens = 0;
-        //! Prompt tokens computed again although they had been cached here before.
+        //! Prompt tokens that were cached earlier and had to be recomputed.
         std::int64_t recomputedTokens = 0;
     };
     [[nodiscard]] const Totals &totals() const
@@ -131,42 +132,42 @@
         std::string program;
         std::int64_t tokens = 0;
     };
-    struct Held {
+    struct CachedProgram {
         std::vector<std::uint64_t> prefixes;
         std::int64_t tokens = 0;
-        TimePoint used {};
+        TimePoint lastUsed {};
     };
-    void startWaiting(TimePoint now);
+    void startWaitingCalls(TimePoint now);
     void advance(EngineCall &call, TimePoint now);
     void startCall(EngineCall &call, TimePoint now);
     void finishCall(EngineCall &call, TimePoint now);
-    void cachePrefix(std::uint64_t identity, const std::string &program, std::int64_t tokens, TimePoint now);
+    void cachePrefix(std::uint64_t prefixHash, const std::string &program, std::int64_t tokens, TimePoint now);
     void evict(TimePoint now);
-    void note(std::string kind, const std::string &program, std::int64_t tokens, TimePoint now);
-    void noteLoad(TimePoint now);
+    void recordEvent(std::string kind, const std::string &program, std::int64_t tokens, TimePoint now);
+    void recordLoad(TimePoint now);
     [[nodiscard]] int countRunning() const;
     [[nodiscard]] Milliseconds decodeTime() const;
 
     EngineSettings settings_;
     std::mt19937_64 random_;
     std::map<std::string, EngineCall> calls_;
-    //! Calls that wait or run; they point into the map above.
+    //! Waiting and running calls; pointers into calls_.
     std::map<std::string, EngineCall *> active_;
     std::deque<std::string> order_;
     std::set<std::string> cancelledBefore_;
     std::map<std::uint64_t, CachedPrefix> cache_;
-    std::map<std::string, Held> held_;
+    std::map<std::string, CachedProgram> cachedPrograms_;
     std::set<std::uint64_t> everCached_;
     std::int64_t cacheUsed_ = 0;
     std::vector<CacheEvent> events_;
     std::uint64_t nextEvent_ = 1;
-    std::uint64_t highestFencing_ = 0;
+    std::uint64_t highestFencingToken_ = 0;
     std::vector<std::string> orders_;
     std::deque<Load> loads_;
     Totals totals_;
 };
 
-//! Tokens of a text as this engine counts them: one a word.
+//! Counts tokens as the simulated engine does: one per word.
 [[nodiscard]] std::int64_t countTokens(const std::string &text);
 
 } // namespace cardamompost::standin
--- a/src/standin/cp_standin_server.cpp
+++ b/src/standin/cp_standin_server.cpp
@@ -19,8 +19,8 @@
 namespace
 {
 
-constexpr Milliseconds aliveInterval {1000};
-constexpr Milliseconds idlePoll {20};
+constexpr Milliseconds keepAliveInterval {1000};
+constexpr Milliseconds pollInterval {20};
 constexpr std::int64_t defaultDeadlineMs = 600'000;
 
 TimePoint timeNow()
@@ -37,7 +37,7 @@
     return response;
 }
 
-HttpResponse failure(unsigned status, std::string_view text)
+HttpResponse errorResponse(unsigned status, std::string_view text)
 {
     return jsonResponse(status, json::object {{"error", json::object {{"message", text}}}});
 }
@@ -108,14 +108,14 @@
     , server_(
           std::move(executor), HttpLimits {},
           [this](HttpRequest &request, IHttpResponder &responder) { return handle(request, responder); },
-          [](const Error &error) { return failure(400, error.message); })
+          [](const Error &error) { return errorResponse(400, error.message); })
 {
 }
 
 asio::awaitable<void> EngineServer::handle(HttpRequest &request, IHttpResponder &responder)
 {
     if (request.path == "/v1/chat/completions" && request.method == "POST") {
-        co_await complete(request, responder);
+        co_await handleCompletion(request, responder);
         co_return;
     }
     const std::vector<std::string_view> path = splitPath(request.path);
@@ -126,12 +126,12 @@
     co_await responder.respond(answer(request));
 }
 
-asio::awaitable<void> EngineServer::complete(const HttpRequest &request, IHttpResponder &responder)
+asio::awaitable<void> EngineServer::handleCompletion(const HttpRequest &request, IHttpResponder &responder)
 {
     const json::object body = parseBody(request.body);
     const json::value *messages = body.if_contains("messages");
     if (messages == nullptr || !messages->is_array()) {
-        co_await responder.respond(failure(400, "messages are missing"));
+        co_await responder.respond(errorResponse(400, "field 'messages' is missing or not an array"));
         co_return;
     }
     EngineCall call;
@@ -142,18 +142,18 @@
     call.maxTokens = numberAt(body, "max_tokens", 256);
     call.deadline = timeNow() + Milliseconds(numberAt(body, "deadline_ms", defaultDeadlineMs));
     const std::string id = call.id;
-    bool isTaken = false;
+    bool isAccepted = false;
     Milliseconds delay {0};
     {
         const std::lock_guard lock(mutex_);
-        isTaken = model_.submit(std::move(call), messages->as_array(), timeNow());
+        isAccepted = model_.submit(std::move(call), messages->as_array(), timeNow());
         delay = model_.faults.answerDelay;
     }
     if (delay.count() > 0) {
         co_await sleepFor(delay);
     }
-    if (!isTaken) {
-        co_await responder.respond(failure(503, "the engine takes no such work now"));
+    if (!isAccepted) {
+        co_await responder.respond(errorResponse(503, "the engine rejected the attempt"));
         co_return;
     }
     const json::value *stream = body.if_contains("stream");
@@ -161,7 +161,7 @@
     if (isStream) {
         co_await sendStream(id, 0, responder);
     } else {
-        co_await sendComplete(id, responder);
+        co_await sendWholeResponse(id, responder);
     }
 }
 
@@ -194,7 +194,7 @@
             next = model_.nextEvent();
         }
         if (!isKnown) {
-            co_await responder.respond(failure(404, "the attempt is not known"));
+            co_await responder.respond(errorResponse(404, "unknown attempt"));
             co_return;
         }
         if (!hasBegun) {
@@ -202,13 +202,13 @@
             headers["Content-Type"] = "text/event-stream";
             hasBegun = co_await responder.begin(200, std::move(headers));
         }
-        if (bytes.empty() && timeNow() - lastWrite > aliveInterval) {
+        if (bytes.empty() && timeNow() - lastWrite > keepAliveInterval) {
             bytes = ": working\n\n";
         }
         if (!bytes.empty()) {
             lastWrite = timeNow();
-            const bool isThere = co_await responder.write(std::move(bytes));
-            hasBegun = hasBegun && isThere;
+            const bool isConnected = co_await responder.write(std::move(bytes));
+            hasBegun = hasBegun && isConnected;
         }
         if (isCut || !hasBegun) {
             responder.abort();
@@ -218,13 +218,13 @@
             co_await responder.end(HttpHeaders());
             co_return;
         }
-        const TimePoint wake = std::min(next, timeNow() + idlePoll);
+        const TimePoint wake = std::min(next, timeNow() + pollInterval);
         asio::steady_timer timer(co_await asio::this_coro::executor, wake);
         co_await timer.async_wait(asio::use_awaitable);
     }
 }
 
-asio::awaitable<void> EngineServer::sendComplete(std::string id, IHttpResponder &responder)
+asio::awaitable<void> EngineServer::sendWholeResponse(std::string id, IHttpResponder &responder)
 {
     while (true) {
         std::optional<HttpResponse> response;
@@ -233,7 +233,7 @@
             model_.run(timeNow());
             const EngineCall *call = model_.find(id);
             if (call == nullptr || call->isCancelled) {
-                response = failure(503, "the attempt was cancelled");
+                response = errorResponse(503, "the attempt was cancelled");
             } else if (call->isDone) {
                 std::string text;
                 for (const std::string &word : call->words) {
@@ -298,7 +298,7 @@
     faults.answerDelay = Milliseconds(numberAt(body, "answer_delay_ms", faults.answerDelay.count()));
 }
 
-HttpResponse EngineServer::answerCache(const HttpRequest &request, const json::object &body)
+HttpResponse EngineServer::handleCacheRequest(const HttpRequest &request, const json::object &body)
 {
     const std::string program = textAt(body, "program");
     if (request.path == "/v1/cache/release") {
@@ -311,7 +311,7 @@
     if (request.path == "/v1/cache/import") {
         const json::value *prefixes = body.if_contains("prefixes");
         if (prefixes == nullptr || !prefixes->is_array()) {
-            return failure(400, "prefixes are missing");
+            return errorResponse(400, "field 'prefixes' is missing or not an array");
         }
         model_.importCache(program, prefixes->as_array(), timeNow());
         return jsonResponse(200, {{"imported", prefixes->as_array().size()}});
@@ -342,16 +342,16 @@
         return jsonResponse(200, loadBody());
     }
     if (request.path.starts_with("/v1/cache/")) {
-        return answerCache(request, body);
+        return handleCacheRequest(request, body);
     }
     if (request.path.starts_with("/v1/streams/") && request.method == "DELETE") {
         model_.cancel(request.path.substr(std::string_view("/v1/streams/").size()));
         return jsonResponse(200, {{"cancelled", true}});
     }
     if (request.path == "/v1/orders" && request.method == "POST") {
-        const bool isTaken
+        const bool isAccepted
             = model_.order(json::serialize(body), static_cast<std::uint64_t>(numberAt(body, "fencing", 0)));
-        return isTaken ? jsonResponse(200, {{"accepted", true}}) : failure(409, "the fencing number is old");
+        return isAccepted ? jsonResponse(200, {{"accepted", true}}) : errorResponse(409, "the fencing token is stale");
     }
     if (request.path == "/standin/faults" && request.method == "POST") {
         setFaults(body);
@@ -360,14 +360,14 @@
     if (request.path == "/standin/stats") {
         return jsonResponse(200, statsBody());
     }
-    return failure(404, "not offered");
+    return errorResponse(404, "no such endpoint");
 }
 
 ServiceServer::ServiceServer(asio::any_io_executor executor)
     : server_(
         std::move(executor), HttpLimits {},
         [this](HttpRequest &request, IHttpResponder &responder) { return handle(request, responder); },
-        [](const Error &error) { return failure(400, error.message); })
+        [](const Error &error) { return errorResponse(400, error.message); })
 {
 }
 
--- a/src/standin/cp_standin_server.hpp
+++ b/src/standin/cp_standin_server.hpp
@@ -12,7 +12,7 @@
 namespace cardamompost::standin
 {
 
-//! A model engine on a port of its own.
+//! Serves a simulated model engine over HTTP.
 class EngineServer
 {
 public:
@@ -25,11 +25,11 @@
 
 private:
     boost::asio::awaitable<void> handle(HttpRequest &request, IHttpResponder &responder);
-    boost::asio::awaitable<void> complete(const HttpRequest &request, IHttpResponder &responder);
+    boost::asio::awaitable<void> handleCompletion(const HttpRequest &request, IHttpResponder &responder);
     boost::asio::awaitable<void> sendStream(std::string id, std::size_t after, IHttpResponder &responder);
-    boost::asio::awaitable<void> sendComplete(std::string id, IHttpResponder &responder);
+    boost::asio::awaitable<void> sendWholeResponse(std::string id, IHttpResponder &responder);
     [[nodiscard]] HttpResponse answer(const HttpRequest &request);
-    [[nodiscard]] HttpResponse answerCache(const HttpRequest &request, const boost::json::object &body);
+    [[nodiscard]] HttpResponse handleCacheRequest(const HttpRequest &request, const boost::json::object &body);
     [[nodiscard]] boost::json::object loadBody();
     [[nodiscard]] boost::json::object statsBody();
     void setFaults(const boost::json::object &body);
@@ -39,7 +39,7 @@
     HttpServer server_;
 };
 
-//! A plain service that counts how often it executed each request.
+//! An HTTP service that counts the executions per idempotency key.
 class ServiceServer
 {
 public:
@@ -56,7 +56,7 @@
     std::mutex mutex_;
     std::map<std::string, std::uint64_t> executions_;
     Milliseconds delay_ {0};
-    //! Executes, and then breaks the connection off instead of answering.
+    //! Number of requests still to be executed but answered by closing the connection.
     int answersToDrop_ = 0;
     HttpServer server_;
 };
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -20,17 +20,17 @@
 
 po::options_description makeOptions(EngineSettings &settings)
 {
-    po::options_description options("cardamompost-standin: stands in for model engines and plain services");
+    po::options_description options("cardamompost-standin: simulates model engines and HTTP services");
     auto add = options.add_options();
     add("help", "show this text");
     add("engine-ports", po::value<std::vector<std::uint16_t>>()->multitoken(), "one engine on each port");
     add("service-ports", po::value<std::vector<std::uint16_t>>()->multitoken(), "one service on each port");
-    add("slots", po::value(&settings.slots), "calls that an engine works on at once");
-    add("prefill-ms", po::value(&settings.prefillMsPerToken), "prefill time of a token in ms");
-    add("decode-ms", po::value(&settings.decodeMsPerToken), "decode time of a token in ms");
-    add("cache-tokens", po::value(&settings.cacheTokens), "tokens that an engine's prefix cache holds");
-    add("checks-fencing", po::value(&settings.checksFencing), "refuse orders with an old fencing number");
-    add("threads", po::value<int>()->default_value(2), "threads");
+    add("slots", po::value(&settings.slots), "concurrent calls per engine");
+    add("prefill-ms", po::value(&settings.prefillMsPerToken), "prefill time per token in ms");
+    add("decode-ms", po::value(&settings.decodeMsPerToken), "decode time per token in ms");
+    add("cache-tokens", po::value(&settings.cacheTokens), "capacity of an engine's prefix cache in tokens");
+    add("checks-fencing", po::value(&settings.checksFencing), "refuse orders with a stale fencing token");
+    add("threads", po::value<int>()->default_value(2), "number of worker threads");
     return options;
 }
 
@@ -67,7 +67,8 @@
         return exitUsage;
     }
     if (values.count("help") != 0) {
-        std::cout << options << "\nExit codes: 0 ended by a signal, 2 wrong options, 4 a port is taken.\n";
+        std::cout << options
+                  << "\nExit codes: 0 terminated by a signal, 2 invalid options, 4 cannot listen on a port.\n";
         return 0;
     }
     const int threads = values["threads"].as<int>();
