--- a/src/cli/cp_api_client.cpp
+++ b/src/cli/cp_api_client.cpp
@@ -16,9 +16,9 @@
 namespace
 {
 
-constexpr Milliseconds retryPause {100};
+constexpr Milliseconds retryDelay {100};
 constexpr Milliseconds directoryTimeout {2000};
-constexpr Milliseconds streamSilence {12'000};
+constexpr Milliseconds streamStallTimeout {12'000};
 constexpr unsigned statusNotReady = 503;
 
 TimePoint timeNow()
@@ -40,18 +40,20 @@
 
 } // namespace
 
-//! What a streamed call has brought so far, over all its connections.
+//! Progress of a streamed call across its connections.
 struct ApiClient::StreamState {
     StreamedCall call;
     TimePoint startedAt;
-    TimePoint lastPiece;
+    TimePoint lastEventAt;
     std::uint64_t lastEvent = 0;
 
-    bool take(const SseEvent &event)
+    //! \returns false after the last event of the call
+    bool handleEvent(const SseEvent &event)
     {
         const TimePoint now = timeNow();
-        call.longestSilence = std::max(call.longestSilence, std::chrono::duration_cast<Milliseconds>(now - lastPiece));
-        lastPiece = now;
+        call.longestSilence
+            = std::max(call.longestSilence, std::chrono::duration_cast<Milliseconds>(now - lastEventAt));
+        lastEventAt = now;
         lastEvent = std::max(lastEvent, event.id);
         const json::object data = parseObject(event.data);
         if (event.name == "tokens") {
@@ -67,13 +69,13 @@
             call.outcome = data.at("outcome").as_string();
             return false;
         } else if (event.name == "error") {
-            takeError(data);
+            setError(data);
             return false;
         }
         return true;
     }
 
-    void takeError(const json::object &body)
+    void setError(const json::object &body)
     {
         const json::value *error = body.if_contains("error");
         call.error = error != nullptr && error->is_object() ? error->as_object() : json::object {};
@@ -88,13 +90,13 @@
 {
 }
 
-Address ApiClient::pick(std::size_t attempt)
+Address ApiClient::selectEntry(std::size_t attempt)
 {
     const std::lock_guard lock(mutex_);
     return entries_[attempt % entries_.size()];
 }
 
-void ApiClient::avoid(const Address &entry)
+void ApiClient::moveToBack(const Address &entry)
 {
     const std::lock_guard lock(mutex_);
     const auto found = std::find(entries_.begin(), entries_.end(), entry);
@@ -107,10 +109,10 @@
                                                       HttpHeaders headers, Milliseconds timeout)
 {
     const TimePoint deadline = timeNow() + timeout;
-    Error lastError = makeError(ErrorKind::BackendFailed, "no entry answers");
+    Error lastError = makeError(ErrorKind::BackendFailed, "no entry answered within the timeout");
     while (timeNow() < deadline) {
         HttpCall call;
-        call.address = pick(0);
+        call.address = selectEntry(0);
         call.method = method;
         call.target = target;
         call.headers = headers;
@@ -123,8 +125,8 @@
             co_return ApiAnswer {std::move(answer.value()), entry.toString()};
         }
         lastError = answer ? makeError(ErrorKind::NotReady, entry.toString() + " is not ready") : answer.error();
-        avoid(entry);
-        co_await sleepFor(retryPause);
+        moveToBack(entry);
+        co_await sleepFor(retryDelay);
     }
     co_return lastError;
 }
@@ -141,18 +143,18 @@
     if (!answer) {
         co_return answer.error();
     }
-    std::vector<Address> fresh;
+    std::vector<Address> refreshed;
     const json::object body = parseObject(answer.value().response.body);
     if (const json::value *list = body.if_contains("entries")) {
         for (const json::value &entry : list->as_array()) {
             if (const auto address = parseAddress(std::string(entry.at("address").as_string()))) {
-                fresh.push_back(*address);
+                refreshed.push_back(*address);
             }
         }
     }
     const std::lock_guard lock(mutex_);
-    if (!fresh.empty()) {
-        entries_ = std::move(fresh);
+    if (!refreshed.empty()) {
+        entries_ = std::move(refreshed);
     }
     co_return boost::outcome_v2::success();
 }
@@ -160,11 +162,11 @@
 asio::awaitable<bool> ApiClient::streamOnce(StreamState &state, HttpCall call)
 {
     SseParser parser;
-    const auto take = [&state](const SseEvent &event) { return state.take(event); };
-    HttpClient::DataHandler onData = [&](std::string_view bytes) { return parser.feed(bytes, take); };
+    const auto onEvent = [&state](const SseEvent &event) { return state.handleEvent(event); };
+    HttpClient::DataHandler onData = [&](std::string_view bytes) { return parser.feed(bytes, onEvent); };
     const Result<HttpResponse> answer = co_await http_.stream(std::move(call), std::move(onData));
     if (answer && answer.value().status != 200 && !isNotReady(answer.value())) {
-        state.takeError(parseObject(answer.value().body));
+        state.setError(parseObject(answer.value().body));
     }
     co_return !state.call.outcome.empty();
 }
@@ -174,16 +176,16 @@
 {
     StreamState state;
     state.startedAt = timeNow();
-    state.lastPiece = state.startedAt;
+    state.lastEventAt = state.startedAt;
     const TimePoint deadline = state.startedAt + timeout;
     const std::string sequence = std::to_string(body.at("sequence").as_int64());
     body["stream"] = true;
     while (timeNow() < deadline) {
         HttpCall call;
-        call.address = pick(0);
+        call.address = selectEntry(0);
         call.headers["Authorization"] = "Bearer " + key_;
-        call.timeout = streamSilence;
-        call.stallTimeout = streamSilence;
+        call.timeout = streamStallTimeout;
+        call.stallTimeout = streamStallTimeout;
         const bool isResume = state.lastEvent != 0;
         call.method = isResume ? "GET" : "POST";
         call.target = "/v1/programs/" + program + "/calls" + (isResume ? "/" + sequence : std::string());
@@ -200,8 +202,8 @@
             break;
         }
         ++state.call.resumes;
-        avoid(entry);
-        co_await sleepFor(retryPause);
+        moveToBack(entry);
+        co_await sleepFor(retryDelay);
     }
     state.call.total = std::chrono::duration_cast<Milliseconds>(timeNow() - state.startedAt);
     co_return std::move(state.call);
--- a/src/cli/cp_api_client.hpp
+++ b/src/cli/cp_api_client.hpp
@@ -10,46 +10,47 @@
 namespace cardamompost::cli
 {
 
-//! An answer, and the entry that gave it.
+//! A response and the address of the entry that sent it.
 struct ApiAnswer {
     HttpResponse response;
     std::string entry;
 };
 
-//! How a streamed call went, as its caller saw it.
+//! Result of a streamed call, measured at the client.
 struct StreamedCall {
     //! "ran", "not-run" or "unknown".
     std::string outcome;
     std::string text;
     boost::json::object final;
     boost::json::object error;
+    //! Time to first token; -1 if none was received.
     Milliseconds firstToken {-1};
     Milliseconds total {0};
     Milliseconds longestSilence {0};
     int resumes = 0;
 };
 
-//! Asks the system which of its entries to use, and goes on at another one when one is lost. Thread-safe.
+//! HTTP client that discovers the entries and fails over between them. Thread-safe.
 class ApiClient
 {
 public:
     ApiClient(std::vector<Address> entries, std::string key);
 
-    //! Sends a request until some entry answers it. It may reach more than one, so what changes something needs an
-    //! idempotency key. Errors: BackendFailed when none answers in time.
+    //! Retries a request on successive entries until one answers. Several entries may receive it, so a request with
+    //! side effects needs an idempotency key. Errors: on timeout, that of the last attempt.
     boost::asio::awaitable<Result<ApiAnswer>> request(std::string method, std::string target, std::string body,
                                                       HttpHeaders headers, Milliseconds timeout);
-    //! Submits a streamed call, and resumes its stream elsewhere when it breaks.
+    //! Submits a streamed call and resumes its stream at another entry when the connection breaks.
     boost::asio::awaitable<StreamedCall> streamCall(std::string program, boost::json::object call,
                                                     std::string idempotencyKey, Milliseconds timeout);
-    //! Takes the directory's answer for the next requests. Errors as request().
+    //! Replaces the list of entries by that of the directory, unless it is empty. Errors as request().
     boost::asio::awaitable<Result<void>> refreshEntries(std::string program);
 
 private:
     struct StreamState;
 
-    [[nodiscard]] Address pick(std::size_t attempt);
-    void avoid(const Address &entry);
+    [[nodiscard]] Address selectEntry(std::size_t attempt);
+    void moveToBack(const Address &entry);
     boost::asio::awaitable<bool> streamOnce(StreamState &state, HttpCall call);
 
     HttpClient http_;
--- a/src/cli/cp_command.cpp
+++ b/src/cli/cp_command.cpp
@@ -21,7 +21,7 @@
 
 void onInterrupt(int /*signal*/)
 {
-    // The second Ctrl-C ends the program as if nobody watched for it.
+    // The second Ctrl-C terminates the process immediately.
     if (interrupts.fetch_add(1) > 0) {
         std::_Exit(exitInterrupted);
     }
@@ -34,7 +34,7 @@
     return interrupts > 0;
 }
 
-void watchInterrupts()
+void installInterruptHandler()
 {
     std::signal(SIGINT, onInterrupt);
 }
@@ -87,11 +87,11 @@
         return exitFaultyDocument;
     }
     if (details.contains("difference")) {
-        std::cerr << "in force is version " << text("current_version") << "; what yours would change there:\n"
+        std::cerr << "the current version is " << text("current_version") << "; changes in the submitted document:\n"
                   << text("difference");
     }
     if (details.contains("retry_after_ms")) {
-        std::cerr << "try again in " << text("retry_after_ms") << " ms\n";
+        std::cerr << "retry after " << text("retry_after_ms") << " ms\n";
     }
     return exitRefused;
 }
--- a/src/cli/cp_command.hpp
+++ b/src/cli/cp_command.hpp
@@ -10,7 +10,7 @@
 namespace cardamompost::cli
 {
 
-//! How the command line ends.
+//! Exit codes of the command line.
 enum ExitCode : int {
     exitOk = 0,
     //! The system refused the request, or a call did not run.
@@ -18,23 +18,23 @@
     exitUsage = 2,
     exitFaultyDocument = 3,
     exitUnreachable = 4,
-    //! A history or an answer is not what it has to be.
+    //! A history or an answer did not match the expected one.
     exitCheckFailed = 5,
     exitInterrupted = 130,
 };
 
 inline constexpr std::string_view exitCodeHelp
-    = "Exit codes: 0 done, 1 refused or not run, 2 wrong options, 3 faulty document, 4 no entry answers,\n"
+    = "Exit codes: 0 success, 1 refused or not run, 2 invalid options, 3 invalid document, 4 no entry answered,\n"
       "            5 a check failed, 130 interrupted.\n";
 
-//! What every command gets.
+//! Options and arguments of a command.
 struct CommandContext {
     std::vector<Address> entries;
     std::string key;
     //! Print JSON instead of tables.
     bool isJson = false;
     boost::program_options::variables_map values;
-    //! Words that belong to no option.
+    //! Positional arguments.
     std::vector<std::string> words;
 };
 
@@ -55,27 +55,27 @@
 [[nodiscard]] std::vector<Command> programCommands();
 [[nodiscard]] std::vector<Command> loadCommands();
 
-//! Tells from the log files of --log why a request ended as it did. \returns the exit code
+//! Explains the outcome of a request from the log files given by --log. \returns the exit code
 int explainFromLogs(const CommandContext &context);
 void addLogOptions(boost::program_options::options_description &options);
 
-//! Runs a coroutine to its end on the calling thread.
+//! Runs a coroutine to completion on the calling thread; rethrows its exception.
 template<typename T>
 T runBlocking(boost::asio::awaitable<T> task);
 
 //! Reads a file or, for "-", standard input. Errors: InvalidRequest.
 [[nodiscard]] Result<std::string> readFile(const std::string &name);
 
-//! Prints an answer's error for a person, and gives the exit code for it.
+//! Prints the error of a response to standard error. \returns the exit code
 int reportError(const CommandContext &context, const HttpResponse &response);
 int reportError(const Error &error);
 
-//! Prints rows under headings, in columns as wide as they need.
+//! Prints a table with columns as wide as their longest cell.
 void printTable(const std::vector<std::string> &headings, const std::vector<std::vector<std::string>> &rows);
 
-//! True once the user has pressed Ctrl-C; the command ends after the answer that is on its way.
+//! True after the first Ctrl-C; the command stops after the pending request.
 [[nodiscard]] bool wasInterrupted();
-void watchInterrupts();
+void installInterruptHandler();
 
 } // namespace cardamompost::cli
 
--- a/src/cli/cp_command_config.cpp
+++ b/src/cli/cp_command_config.cpp
@@ -169,14 +169,14 @@
     const auto noOptions = [](po::options_description &) {};
     const auto submitOptions = [](po::options_description &options) {
         options.add_options()("base", po::value<std::string>()->default_value(""),
-                              "version that the document is based on; the one in force if not given")(
+                              "version that the document is based on; default: the version in force")(
             "wait", po::value<int>()->default_value(0)->implicit_value(10'000),
-            "wait up to this many ms until it is in force everywhere")("idempotency-key",
-                                                                       po::value<std::string>()->default_value(""),
-                                                                       "the same for each resend of one submission");
+            "wait up to this many ms until it is in force on every VM")(
+            "idempotency-key", po::value<std::string>()->default_value(""),
+            "key that identifies retries of the same submission");
     };
-    return {{"config check", "report every fault of a document", "FILE", noOptions, check, false},
-            {"config submit", "make a document the configuration in force", "FILE", submitOptions, submit},
+    return {{"config check", "report all errors in a document", "FILE", noOptions, check, false},
+            {"config submit", "submit a document as the new configuration", "FILE", submitOptions, submit},
             {"config show", "print the document in force", "", noOptions, show},
             {"config keys", "list the keys of the document and of a process's settings", "", noOptions, keys, false},
             {"config diff", "print what a document would change", "FILE", noOptions, diff}};
--- a/src/cli/cp_command_explain.cpp
+++ b/src/cli/cp_command_explain.cpp
@@ -82,7 +82,7 @@
 {
     namespace po = boost::program_options;
     options.add_options()("log", po::value<std::vector<std::string>>()->composing(),
-                          "a file with log lines of any processes, more than once for several; - for standard input");
+                          "log file of any process, may be repeated; - for standard input");
 }
 
 } // namespace cardamompost::cli
--- a/src/cli/cp_command_load.cpp
+++ b/src/cli/cp_command_load.cpp
@@ -33,21 +33,21 @@
 constexpr Milliseconds directoryInterval {2000};
 constexpr std::int64_t agentBudget = 4000;
 
-constexpr std::array<std::string_view, 16> words {"hold",  "hatch",   "grain", "clinker", "trim", "berth",
-                                                  "draft", "ballast", "gate",  "stand",   "bank", "inbound",
-                                                  "crane", "shift",   "port",  "survey"};
+constexpr std::array<std::string_view, 16> vocabulary {"hold",  "hatch",   "grain", "clinker", "trim", "berth",
+                                                       "draft", "ballast", "gate",  "stand",   "bank", "inbound",
+                                                       "crane", "shift",   "port",  "survey"};
 
 std::string makeText(std::int64_t count, std::mt19937_64 &random)
 {
     std::string text;
     for (std::int64_t i = 0; i < count; ++i) {
         text += i == 0 ? "" : " ";
-        text += words[random() % words.size()];
+        text += vocabulary[random() % vocabulary.size()];
     }
     return text;
 }
 
-//! One program of the load, as its own caller would run it.
+//! Runs one program of the load and records its outcome.
 class LoadProgram
 {
 public:
@@ -82,11 +82,11 @@
         }
         const std::int64_t turns = shape_.turns.draw(random_);
         for (std::int64_t turn = 0; turn < turns; ++turn) {
-            const double dice = std::uniform_real_distribution<>(0.0, 1.0)(random_);
+            const double choice = std::uniform_real_distribution<>(0.0, 1.0)(random_);
             bool isDone = false;
-            if (dice < shape_.agentShare) {
+            if (choice < shape_.agentShare) {
                 isDone = co_await runAgent();
-            } else if (dice < shape_.agentShare + shape_.serviceShare && !service_.empty()) {
+            } else if (choice < shape_.agentShare + shape_.serviceShare && !service_.empty()) {
                 isDone = co_await runService();
             } else {
                 isDone = co_await runModel(program_, nextSequence_, true);
@@ -132,7 +132,7 @@
         }
     }
 
-    asio::awaitable<bool> runModel(std::string program, std::int64_t sequence, bool isOwn)
+    asio::awaitable<bool> runModel(std::string program, std::int64_t sequence, bool isMainProgram)
     {
         const json::object message {{"role", "user"}, {"content", makeText(shape_.promptWords.draw(random_), random_)}};
         json::object call {{"sequence", sequence},
@@ -159,7 +159,7 @@
         outcome_.completionTokens += usage.at("completion_tokens").as_int64();
         outcome_.cachedTokens += usage.at("prompt_tokens_details").at("cached_tokens").as_int64();
         outcome_.isHistoryBroken = outcome_.isHistoryBroken || streamed.text != streamed.final.at("text").as_string();
-        if (isOwn) {
+        if (isMainProgram) {
             messages_.push_back(message);
             messages_.push_back(json::object {{"role", "assistant"}, {"content", streamed.text}});
             ++nextSequence_;
@@ -202,7 +202,7 @@
         outcome_.notRun += outcome == "not-run" ? 1 : 0;
         outcome_.unknown += outcome == "not-run" ? 0 : 1;
         outcome_.error = answer ? answer.value().response.body.substr(0, 160) : answer.error().message;
-        // A caller that is told "unknown" knows where it stands; the program goes on behind that call.
+        // An answered call with outcome "unknown" keeps its sequence number, so the program continues after it.
         nextSequence_ += outcome == "unknown" ? 1 : 0;
         co_return outcome == "unknown" && answer.has_value();
     }
@@ -260,8 +260,9 @@
     co_await program->run();
 }
 
-// Programs arrive whether or not earlier ones have ended, as callers do.
-asio::awaitable<void> arrive(ApiClient &client, LoadReport &report, LoadOptions options, asio::any_io_executor executor)
+// Open-loop arrivals: programs start whether or not earlier ones have ended.
+asio::awaitable<void> generateArrivals(ApiClient &client, LoadReport &report, LoadOptions options,
+                                       asio::any_io_executor executor)
 {
     std::mt19937_64 random(options.seed);
     const auto startedAt = std::chrono::steady_clock::now();
@@ -277,12 +278,12 @@
         co_await timer.async_wait(asio::use_awaitable);
         auto program = std::make_unique<LoadProgram>(client, report, options.deployment, options.service,
                                                      drawShape(profile, random), random());
-        report.started();
+        report.recordStart();
         asio::co_spawn(asio::make_strand(executor), runProgram(std::move(program)), asio::detached);
     }
 }
 
-asio::awaitable<void> refreshDirectory(ApiClient &client, const std::atomic<bool> &isOver)
+asio::awaitable<void> refreshEntriesPeriodically(ApiClient &client, const std::atomic<bool> &isOver)
 {
     while (!isOver) {
         co_await client.refreshEntries(std::string());
@@ -294,7 +295,7 @@
 {
     const std::optional<LoadProfile> profile = findProfile(context.words.at(0));
     if (!profile) {
-        std::cerr << "cardamompost load: the profile is okpara, gatewise, short-answers or long-answers\n";
+        std::cerr << "cardamompost load: PROFILE must be okpara, gatewise, short-answers or long-answers\n";
         return exitUsage;
     }
     LoadOptions options {*profile,
@@ -308,10 +309,10 @@
     asio::io_context io;
     std::atomic<bool> isArriving {true};
     std::atomic<bool> isOver {false};
-    asio::co_spawn(asio::make_strand(io.get_executor()), arrive(client, report, options, io.get_executor()),
+    asio::co_spawn(asio::make_strand(io.get_executor()), generateArrivals(client, report, options, io.get_executor()),
                    [&](std::exception_ptr) { isArriving = false; });
     asio::io_context directoryIo;
-    asio::co_spawn(directoryIo, refreshDirectory(client, isOver), asio::detached);
+    asio::co_spawn(directoryIo, refreshEntriesPeriodically(client, isOver), asio::detached);
     std::thread directory([&] { directoryIo.run(); });
     std::vector<std::thread> threads;
     for (int i = 0; i < context.values["threads"].as<int>(); ++i) {
@@ -320,7 +321,7 @@
     std::atomic<bool> isFinished {false};
     std::thread progress([&] {
         while (!isFinished) {
-            std::cerr << "\r" << report.progressLine() << (isArriving ? "" : " (no more arrive)") << "   "
+            std::cerr << "\r" << report.progressLine() << (isArriving ? "" : " (no more arrivals)") << "   "
                       << std::flush;
             std::this_thread::sleep_for(progressInterval);
         }
@@ -352,15 +353,15 @@
 {
     const auto options = [](po::options_description &description) {
         auto add = description.add_options();
-        add("deployment", po::value<std::string>()->required(), "deployment that the programs use");
-        add("service", po::value<std::string>()->default_value(""), "service for calls that may not be repeated");
-        add("rate", po::value<double>()->default_value(5.0), "programs a second that arrive");
-        add("seconds", po::value<double>()->default_value(10.0), "how long they arrive");
-        add("seed", po::value<std::uint64_t>()->default_value(1), "seed of all that is drawn");
-        add("threads", po::value<int>()->default_value(2), "threads of this tool");
-        add("report", po::value<std::string>()->default_value(""), "file for the report in JSON");
+        add("deployment", po::value<std::string>()->required(), "deployment used by the programs");
+        add("service", po::value<std::string>()->default_value(""), "service for non-idempotent calls");
+        add("rate", po::value<double>()->default_value(5.0), "arrival rate in programs per second");
+        add("seconds", po::value<double>()->default_value(10.0), "duration of the arrivals in seconds");
+        add("seed", po::value<std::uint64_t>()->default_value(1), "seed of the random generator");
+        add("threads", po::value<int>()->default_value(2), "number of worker threads");
+        add("report", po::value<std::string>()->default_value(""), "file to write the JSON report to");
     };
-    return {{"load", "run programs of many callers, and report how they went", "PROFILE", options, load}};
+    return {{"load", "generate load with many programs and report the results", "PROFILE", options, load}};
 }
 
 } // namespace cardamompost::cli
--- a/src/cli/cp_command_program.cpp
+++ b/src/cli/cp_command_program.cpp
@@ -24,7 +24,7 @@
 constexpr Milliseconds requestTimeout {10'000};
 constexpr Milliseconds callTimeout {120'000};
 
-//! What a program has seen so far; kept in a file, so that another run can go on and check it.
+//! Progress and messages of a program, kept in a file so that a later run can continue and check it.
 struct Transcript {
     std::string program;
     std::int64_t nextSequence = 1;
@@ -57,7 +57,7 @@
     }
 };
 
-//! Runs the turns of a script, one after the other.
+//! Runs the turns of a script in order.
 class ScriptRunner
 {
 public:
@@ -98,7 +98,7 @@
             code = co_await end(transcript_.program);
         }
         transcript_.save(context_.values["transcript"].as<std::string>());
-        printRows(code);
+        printResult(code);
         co_return code;
     }
 
@@ -158,7 +158,7 @@
         co_return co_await runService(turn);
     }
 
-    asio::awaitable<int> runModel(const Turn &turn, std::string program, std::int64_t sequence, bool isOwn)
+    asio::awaitable<int> runModel(const Turn &turn, std::string program, std::int64_t sequence, bool isMainProgram)
     {
         const json::object message {{"role", "user"}, {"content", turn.content}};
         json::object call {{"sequence", sequence},
@@ -167,17 +167,17 @@
                            {"max_tokens", turn.maxTokens}};
         const StreamedCall streamed
             = co_await client_.streamCall(program, std::move(call), makeProgramId(), callTimeout);
-        note(turn, streamed, isOwn ? "model" : "agent");
+        addRow(turn, streamed, isMainProgram ? "model" : "agent");
         if (streamed.outcome != "ran") {
             std::cerr << "cardamompost: turn " << turn.name << ": " << json::serialize(streamed.error) << "\n";
             co_return exitRefused;
         }
-        // The pieces that came one by one have to make the whole that the system keeps.
+        // The concatenated stream must equal the final text.
         if (streamed.text != streamed.final.at("text").as_string()) {
             std::cerr << "cardamompost: turn " << turn.name << ": the streamed answer differs from the final one\n";
             co_return exitCheckFailed;
         }
-        if (isOwn) {
+        if (isMainProgram) {
             transcript_.messages.push_back(message);
             transcript_.messages.push_back(json::object {{"role", "assistant"}, {"content", streamed.text}});
             ++transcript_.nextSequence;
@@ -214,13 +214,13 @@
         const auto startedAt = std::chrono::steady_clock::now();
         const Result<ApiAnswer> answer
             = co_await client_.request("POST", std::move(target), std::move(text), std::move(headers), callTimeout);
-        const std::int64_t tookMs = toMs(std::chrono::steady_clock::now() - startedAt);
+        const std::int64_t durationMs = toMs(std::chrono::steady_clock::now() - startedAt);
         if (!answer) {
             co_return reportError(answer.error());
         }
         const HttpResponse &response = answer.value().response;
         const std::string outcome(response.header("Cardamompost-Outcome"));
-        rows_.push_back({turn.name, "service", outcome, fmt::format("{} ms", tookMs), "-", "-", ""});
+        rows_.push_back({turn.name, "service", outcome, fmt::format("{} ms", durationMs), "-", "-", ""});
         if (outcome != "ran") {
             co_return reportError(context_, response);
         }
@@ -246,7 +246,7 @@
         co_return isHistoryComplete_ ? exitOk : exitCheckFailed;
     }
 
-    void note(const Turn &turn, const StreamedCall &streamed, std::string_view kind)
+    void addRow(const Turn &turn, const StreamedCall &streamed, std::string_view kind)
     {
         const json::value *usage = streamed.final.if_contains("usage");
         const std::string cached
@@ -258,7 +258,7 @@
                          streamed.resumes == 0 ? "" : fmt::format("resumed {} times", streamed.resumes)});
     }
 
-    void printRows(int code) const
+    void printResult(int code) const
     {
         if (context_.isJson) {
             json::array turns;
@@ -281,7 +281,7 @@
         std::cout << "program " << transcript_.program << "\n";
         printTable({"TURN", "KIND", "OUTCOME", "TOTAL", "FIRST TOKEN", "CACHED", ""}, rows_);
         std::cout << "program latency " << transcript_.elapsedMs << " ms, history "
-                  << (isHistoryComplete_ ? "whole and in order" : "NOT CHECKED OR BROKEN") << "\n";
+                  << (isHistoryComplete_ ? "complete and in order" : "NOT CHECKED OR BROKEN") << "\n";
     }
 
     static constexpr std::int64_t agentBudget_ = 4000;
@@ -352,15 +352,15 @@
     const auto noOptions = [](po::options_description &) {};
     const auto runOptions = [](po::options_description &options) {
         options.add_options()("transcript", po::value<std::string>()->default_value(""),
-                              "file with what the program has seen; read if it is there, and written")(
+                              "file with the state of the program; read if it exists, then written")(
             "from", po::value<int>()->default_value(1),
             "first turn to run")("to", po::value<int>()->default_value(1'000'000),
                                  "last turn to run")("keep", "do not end the program after the last turn");
     };
     const auto show = [](const CommandContext &context) { return printBody(context, "GET", ""); };
     const auto history = [](const CommandContext &context) { return printBody(context, "GET", "/history"); };
-    // A program's calls are asked of an entry; a request that failed is explained from log files, where --log names
-    // them.
+    // With --log, explains a failed request from log files; otherwise fetches the explanation of a program from an
+    // entry.
     const auto explain = [](const CommandContext &context) {
         if (context.values.count("log") != 0) {
             return explainFromLogs(context);
--- a/src/cli/cp_command_status.cpp
+++ b/src/cli/cp_command_status.cpp
@@ -62,7 +62,7 @@
         }
     }
     if (!replicas.empty()) {
-        std::cout << "\nas " << textAt(body, "vm") << " sees its queues:\n";
+        std::cout << "\nqueues as reported by " << textAt(body, "vm") << ":\n";
         printTable({"DEPLOYMENT", "WAITING", "REPLICA", "OWN", "OTHERS", "SLOTS", "CLOSED"}, replicas);
     }
     return exitOk;
@@ -111,7 +111,7 @@
     if (context.isJson) {
         std::cout << answer.value().response.body;
     } else {
-        std::cout << context.words.at(0) << " is leaving\n";
+        std::cout << context.words.at(0) << " is draining\n";
     }
     return exitOk;
 }
@@ -125,8 +125,8 @@
         options.add_options()("program", po::value<std::string>()->default_value(""), "put this program's owner first");
     };
     return {{"status", "show VMs, partitions and queues", "", noOptions, status},
-            {"entries", "show which addresses callers should use", "", entriesOptions, entries},
-            {"drain", "take a VM out of service without cutting a request", "VM", noOptions, drain}};
+            {"entries", "show the addresses that clients should use", "", entriesOptions, entries},
+            {"drain", "take a VM out of service without interrupting requests", "VM", noOptions, drain}};
 }
 
 } // namespace cardamompost::cli
--- a/src/cli/cp_load_profile.cpp
+++ b/src/cli/cp_load_profile.cpp
@@ -22,7 +22,7 @@
     return {"gatewise", {sessions, reshuffles, archive}, 15.0, 4.0, 3.0};
 }
 
-//! Programs of one call that differ in nothing but the length of the answer, to tell the cost of a token apart.
+//! Programs with a single call and a fixed answer length, for comparing the cost per token.
 LoadProfile singleCalls(const std::string &name, std::int64_t tokens)
 {
     const LoadShape calls {"trim-check", 1.0, {1, 1}, {0, 0}, {20, 20}, {tokens, tokens}, 0.0, 0.0};
--- a/src/cli/cp_load_profile.hpp
+++ b/src/cli/cp_load_profile.hpp
@@ -10,7 +10,7 @@
 namespace cardamompost::cli
 {
 
-//! Bounds of a uniformly drawn whole number.
+//! Inclusive bounds of a uniformly distributed integer.
 struct Range {
     std::int64_t min = 0;
     std::int64_t max = 0;
@@ -21,7 +21,7 @@
     }
 };
 
-//! Programs of one class, as callers bring them.
+//! Distribution of the programs of one work class.
 struct LoadShape {
     std::string workClass;
     //! Share of all programs, relative to the other shapes.
@@ -30,19 +30,20 @@
     Range pauseMs;
     Range promptWords;
     Range maxTokens;
-    //! Chance that a turn is a sub-agent's program.
+    //! Probability that a turn runs a sub-agent's program.
     double agentShare = 0.0;
-    //! Chance that a turn is a service call that may not be repeated.
+    //! Probability that a turn is a non-idempotent service call.
     double serviceShare = 0.0;
 };
 
-//! What a user's day looks like, in small.
+//! Mix of program classes with an arrival pattern.
 struct LoadProfile {
     std::string name;
     std::vector<LoadShape> shapes;
-    //! Every so often arrivals come this much faster for a while, as a delayed inbound meets a departure bank.
+    //! Period of the bursts; 0 for none.
     double burstEverySeconds = 0;
     double burstSeconds = 0;
+    //! Factor on the arrival rate during a burst.
     double burstFactor = 1.0;
 };
 
--- a/src/cli/cp_load_report.cpp
+++ b/src/cli/cp_load_report.cpp
@@ -33,14 +33,14 @@
             {"max", percentile(values, 1.0)}};
 }
 
-std::string shortText(double value)
+std::string formatRounded(double value)
 {
     return fmt::format("{:.0f}", value);
 }
 
 } // namespace
 
-void LoadReport::started()
+void LoadReport::recordStart()
 {
     const std::lock_guard lock(mutex_);
     ++started_;
@@ -53,17 +53,17 @@
     resumes_ += outcome.resumes;
     brokenHistories_ += outcome.isHistoryBroken ? 1 : 0;
     longestSilenceMs_ = std::max(longestSilenceMs_, outcome.longestSilenceMs);
-    ClassNumbers &numbers = classes_[outcome.workClass];
-    ++numbers.programs;
-    numbers.finished += outcome.isFinished ? 1 : 0;
-    numbers.calls += outcome.calls;
-    numbers.notRun += outcome.notRun;
-    numbers.unknown += outcome.unknown;
-    numbers.promptTokens += outcome.promptTokens;
-    numbers.cachedTokens += outcome.cachedTokens;
-    numbers.firstTokenMs.insert(numbers.firstTokenMs.end(), outcome.firstTokenMs.begin(), outcome.firstTokenMs.end());
+    ClassStatistics &stats = classes_[outcome.workClass];
+    ++stats.programs;
+    stats.finished += outcome.isFinished ? 1 : 0;
+    stats.calls += outcome.calls;
+    stats.notRun += outcome.notRun;
+    stats.unknown += outcome.unknown;
+    stats.promptTokens += outcome.promptTokens;
+    stats.cachedTokens += outcome.cachedTokens;
+    stats.firstTokenMs.insert(stats.firstTokenMs.end(), outcome.firstTokenMs.begin(), outcome.firstTokenMs.end());
     if (outcome.isFinished) {
-        numbers.workMs.push_back(outcome.workMs);
+        stats.workMs.push_back(outcome.workMs);
     }
     if (!outcome.error.empty()) {
         ++errors_[outcome.error];
@@ -73,15 +73,15 @@
 std::string LoadReport::progressLine() const
 {
     const std::lock_guard lock(mutex_);
-    return fmt::format("started {}  ended {}  under way {}", started_, ended_, started_ - ended_);
+    return fmt::format("started {}  ended {}  in progress {}", started_, ended_, started_ - ended_);
 }
 
 bool LoadReport::isClean() const
 {
     const std::lock_guard lock(mutex_);
     std::uint64_t finished = 0;
-    for (const auto &[name, numbers] : classes_) {
-        finished += numbers.finished;
+    for (const auto &[name, stats] : classes_) {
+        finished += stats.finished;
     }
     return finished == started_ && brokenHistories_ == 0;
 }
@@ -90,16 +90,16 @@
 {
     const std::lock_guard lock(mutex_);
     json::object classes;
-    for (const auto &[name, numbers] : classes_) {
-        classes[name] = json::object {{"programs", numbers.programs},
-                                      {"finished", numbers.finished},
-                                      {"calls", numbers.calls},
-                                      {"not_run", numbers.notRun},
-                                      {"unknown", numbers.unknown},
-                                      {"prompt_tokens", numbers.promptTokens},
-                                      {"cached_tokens", numbers.cachedTokens},
-                                      {"program_work_ms", percentiles(numbers.workMs)},
-                                      {"first_token_ms", percentiles(numbers.firstTokenMs)}};
+    for (const auto &[name, stats] : classes_) {
+        classes[name] = json::object {{"programs", stats.programs},
+                                      {"finished", stats.finished},
+                                      {"calls", stats.calls},
+                                      {"not_run", stats.notRun},
+                                      {"unknown", stats.unknown},
+                                      {"prompt_tokens", stats.promptTokens},
+                                      {"cached_tokens", stats.cachedTokens},
+                                      {"program_work_ms", percentiles(stats.workMs)},
+                                      {"first_token_ms", percentiles(stats.firstTokenMs)}};
     }
     json::object errors;
     for (const auto &[text, count] : errors_) {
@@ -119,13 +119,14 @@
     std::vector<std::vector<std::string>> rows;
     {
         const std::lock_guard lock(mutex_);
-        for (const auto &[name, numbers] : classes_) {
-            rows.push_back(
-                {name, std::to_string(numbers.programs), std::to_string(numbers.finished),
-                 std::to_string(numbers.calls), std::to_string(numbers.notRun), std::to_string(numbers.unknown),
-                 shortText(percentile(numbers.workMs, 0.5)), shortText(percentile(numbers.workMs, 0.95)),
-                 shortText(percentile(numbers.workMs, 0.99)), shortText(percentile(numbers.firstTokenMs, 0.5)),
-                 shortText(percentile(numbers.firstTokenMs, 0.95)), shortText(percentile(numbers.firstTokenMs, 0.99))});
+        for (const auto &[name, stats] : classes_) {
+            rows.push_back({name, std::to_string(stats.programs), std::to_string(stats.finished),
+                            std::to_string(stats.calls), std::to_string(stats.notRun), std::to_string(stats.unknown),
+                            formatRounded(percentile(stats.workMs, 0.5)), formatRounded(percentile(stats.workMs, 0.95)),
+                            formatRounded(percentile(stats.workMs, 0.99)),
+                            formatRounded(percentile(stats.firstTokenMs, 0.5)),
+                            formatRounded(percentile(stats.firstTokenMs, 0.95)),
+                            formatRounded(percentile(stats.firstTokenMs, 0.99))});
         }
     }
     printTable({"CLASS", "PROGRAMS", "FINISHED", "CALLS", "NOT RUN", "UNKNOWN", "WORK P50", "P95", "P99", "FIRST P50",
--- a/src/cli/cp_load_report.hpp
+++ b/src/cli/cp_load_report.hpp
@@ -11,7 +11,7 @@
 namespace cardamompost::cli
 {
 
-//! How one program of the load went.
+//! Results of one program of the load.
 struct ProgramOutcome {
     std::string workClass;
     std::uint64_t calls = 0;
@@ -22,30 +22,30 @@
     std::int64_t cachedTokens = 0;
     std::int64_t completionTokens = 0;
     std::vector<double> firstTokenMs;
-    //! Without the pauses of its tools.
+    //! Total call time, without pauses between turns.
     double workMs = 0;
     double longestSilenceMs = 0;
     bool isFinished = false;
-    //! What the system keeps is not what the program saw.
+    //! The stored history or a final text differs from what the program received.
     bool isHistoryBroken = false;
     std::string error;
 };
 
-//! Collects the outcomes of a load. Thread-safe.
+//! Aggregates program outcomes by work class. Thread-safe.
 class LoadReport
 {
 public:
-    void started();
+    void recordStart();
     void add(const ProgramOutcome &outcome);
 
     [[nodiscard]] std::string progressLine() const;
     [[nodiscard]] boost::json::object body() const;
     void print() const;
-    //! True when every program that was started finished with its history whole.
+    //! True if every started program finished with an intact history.
     [[nodiscard]] bool isClean() const;
 
 private:
-    struct ClassNumbers {
+    struct ClassStatistics {
         std::vector<double> workMs;
         std::vector<double> firstTokenMs;
         std::uint64_t programs = 0;
@@ -63,7 +63,7 @@
     std::uint64_t resumes_ = 0;
     std::uint64_t brokenHistories_ = 0;
     double longestSilenceMs_ = 0;
-    std::map<std::string, ClassNumbers> classes_;
+    std::map<std::string, ClassStatistics> classes_;
     std::map<std::string, std::uint64_t> errors_;
 };
 
--- a/src/cli/cp_program_script.hpp
+++ b/src/cli/cp_program_script.hpp
@@ -13,9 +13,9 @@
 enum class TurnKind {
     Model,
     Service,
-    //! The program's process is busy with a tool of its own.
+    //! Waits, as for a local tool of the program.
     Pause,
-    //! A program of a sub-agent with one model call, on the same budget.
+    //! Runs a sub-agent's program with one model call, charged to the same budget.
     Agent,
 };
 
@@ -39,7 +39,7 @@
     bool isIdempotent = false;
 };
 
-//! A program to be run by the command line, from an INI file with a section [program] and sections [turn NAME].
+//! A scripted program, read from an INI file with a [program] section and [turn NAME] sections.
 struct ProgramScript {
     std::string deployment;
     std::string workClass;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -30,9 +30,9 @@
     po::options_description options("options of every command");
     options.add_options()(
         "entry", po::value<std::vector<std::string>>()->composing(),
-        "IP:PORT of an entry, more than once for several; or CARDAMOMPOST_ENTRIES, separated by commas")(
+        "IP:PORT of an entry, may be repeated; default: the comma-separated list in CARDAMOMPOST_ENTRIES")(
         "key", po::value<std::string>()->default_value(fromEnvironment("CARDAMOMPOST_KEY"), "CARDAMOMPOST_KEY"),
-        "bearer key of a caller or an operator")("output", po::value<std::string>()->default_value("table"),
+        "bearer key of a client or an operator")("output", po::value<std::string>()->default_value("table"),
                                                  "table or json")("help", "show the command's options");
     return options;
 }
@@ -74,7 +74,7 @@
     for (const std::string &text : texts) {
         const auto address = cardamompost::parseAddress(text);
         if (!address) {
-            std::cerr << "cardamompost: --entry '" << text << "' is not an IP number with a port\n";
+            std::cerr << "cardamompost: --entry '" << text << "' is not an IP address with a port\n";
             return false;
         }
         context.entries.push_back(*address);
@@ -88,13 +88,13 @@
     po::options_description own("options of " + command.name);
     command.addOptions(own);
     options.add(own);
-    po::options_description everything;
-    everything.add(options).add_options()("words", po::value<std::vector<std::string>>());
+    po::options_description allOptions;
+    allOptions.add(options).add_options()("words", po::value<std::vector<std::string>>());
     po::positional_options_description words;
     words.add("words", -1);
     CommandContext context;
     try {
-        po::store(po::command_line_parser(arguments).options(everything).positional(words).run(), context.values);
+        po::store(po::command_line_parser(arguments).options(allOptions).positional(words).run(), context.values);
         if (context.values.count("help") == 0) {
             po::notify(context.values);
         }
@@ -143,6 +143,6 @@
         std::cerr << "cardamompost: '" << arguments[0] << "' is not a command; see 'cardamompost --help'\n";
         return exitUsage;
     }
-    watchInterrupts();
+    installInterruptHandler();
     return runCommand(*command, {arguments.begin() + static_cast<std::ptrdiff_t>(used), arguments.end()});
 }
