--- a/src/daemon/cp_answer_writer.cpp
+++ b/src/daemon/cp_answer_writer.cpp
@@ -120,9 +120,9 @@
         chunk.body = formatSse(0, "restart", "{}");
         return chunk;
     }
-    // The OpenAI form has no way to take back what was sent.
-    Error error
-        = makeError(ErrorKind::BackendFailed, "the answer began anew after a failure; fetch it from its program");
+    // The OpenAI format can't retract tokens that were sent, so the stream ends with an error.
+    Error error = makeError(ErrorKind::BackendFailed,
+                            "the answer was restarted after a failure; fetch the result from its program");
     error.outcome = Outcome::Unknown;
     chunk.body = formatSse(0, {}, json::serialize(errorBody(error))) + "data: [DONE]\n\n";
     chunk.outcome = Outcome::Unknown;
--- a/src/daemon/cp_answer_writer.hpp
+++ b/src/daemon/cp_answer_writer.hpp
@@ -11,7 +11,7 @@
 namespace cardamompost
 {
 
-//! What the pieces of a call's answer say besides its text.
+//! Metadata of a call that its answer chunks carry.
 struct AnswerContext {
     ProgramId program;
     std::uint32_t sequence = 0;
@@ -22,21 +22,21 @@
     bool isStream = false;
 };
 
-//! An error as callers get it: {"error": {...}}.
+//! Formats an error for callers: {"error": {...}}.
 [[nodiscard]] boost::json::object errorBody(const Error &error);
-//! A whole answer that is an error.
+//! Builds a complete error answer.
 [[nodiscard]] ApiChunk errorChunk(const Error &error);
-//! A whole answer that is a JSON object.
+//! Builds a complete JSON answer.
 [[nodiscard]] ApiChunk jsonChunk(unsigned status, const boost::json::object &body,
                                  std::optional<Outcome> outcome = std::nullopt);
 
-//! The error that a call ended with; nothing for an answer.
+//! Returns the error that a call ended with; empty if it succeeded.
 [[nodiscard]] std::optional<Error> errorOf(const CallResult &result);
 
-//! What a caller gets for an event; nothing for one that its form leaves out.
+//! Returns the chunk to send for an event; empty if the event isn't sent to this caller.
 [[nodiscard]] std::optional<ApiChunk> chunkFor(const AnswerContext &context, const LiveEvent &event);
 
-//! A program without its history.
+//! Formats a program without its history.
 [[nodiscard]] boost::json::object programBody(const Program &program);
 
 } // namespace cardamompost
--- a/src/daemon/cp_api_server.cpp
+++ b/src/daemon/cp_api_server.cpp
@@ -17,34 +17,34 @@
 {
 
 constexpr std::size_t maxKeyLength = 256;
-constexpr int maxIdTries = 1'000'000;
+constexpr int maxIdAttempts = 1'000'000;
 
-//! Counts a request while it is answered.
-class ActiveGuard
+//! Counts a request as active during its scope.
+class ActiveRequestGuard
 {
 public:
-    explicit ActiveGuard(std::atomic<int> &count)
+    explicit ActiveRequestGuard(std::atomic<int> &count)
         : count_(count)
     {
         ++count_;
     }
-    ~ActiveGuard()
+    ~ActiveRequestGuard()
     {
         --count_;
     }
-    ActiveGuard(const ActiveGuard &) = delete;
-    ActiveGuard &operator=(const ActiveGuard &) = delete;
+    ActiveRequestGuard(const ActiveRequestGuard &) = delete;
+    ActiveRequestGuard &operator=(const ActiveRequestGuard &) = delete;
 
 private:
     std::atomic<int> &count_;
 };
 
-Error notOffered(const HttpRequest &request)
+Error unknownRoute(const HttpRequest &request)
 {
     return makeError(ErrorKind::NotFound, request.method + " " + request.path + " is not offered");
 }
 
-Error wrongMethod(const HttpRequest &request)
+Error methodNotAllowed(const HttpRequest &request)
 {
     return makeError(ErrorKind::MethodNotAllowed, request.method + " is not offered at " + request.path);
 }
@@ -63,8 +63,8 @@
     return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-Result<void> checkAllowed(const Configuration &configuration, const Caller &caller, const std::string &deployment,
-                          const std::string &workClass)
+Result<void> checkPermissions(const Configuration &configuration, const Caller &caller, const std::string &deployment,
+                              const std::string &workClass)
 {
     const Deployment *declared = configuration.findDeployment(deployment);
     if (declared == nullptr || !contains(caller.deployments, deployment)) {
@@ -111,13 +111,13 @@
 
 asio::awaitable<void> ApiServer::handle(HttpRequest &request, IHttpResponder &responder)
 {
-    const ActiveGuard guard(active_);
+    const ActiveRequestGuard guard(active_);
     co_await route(request, responder);
 }
 
 asio::awaitable<void> ApiServer::route(HttpRequest &request, IHttpResponder &responder)
 {
-    if (std::optional<HttpResponse> open = openRoute(request)) {
+    if (std::optional<HttpResponse> open = publicRoute(request)) {
         co_await responder.respond(std::move(*open));
         co_return;
     }
@@ -129,7 +129,7 @@
     co_await handleCaller(request, responder);
 }
 
-std::optional<HttpResponse> ApiServer::openRoute(const HttpRequest &request) const
+std::optional<HttpResponse> ApiServer::publicRoute(const HttpRequest &request) const
 {
     const bool isRead = request.method == "GET";
     if (request.path == "/healthz" && isRead) {
@@ -145,12 +145,12 @@
         return textResponse(parts_.metrics.text(), "text/plain; version=0.0.4");
     }
     if (request.path == "/v1/entries" && isRead) {
-        return entries(request);
+        return listEntries(request);
     }
     return std::nullopt;
 }
 
-HttpResponse ApiServer::entries(const HttpRequest &request) const
+HttpResponse ApiServer::listEntries(const HttpRequest &request) const
 {
     const auto view = parts_.replica.view();
     const auto program = request.query.find("program");
@@ -160,15 +160,15 @@
     }
     std::vector<const VmRecord *> vms;
     for (const auto &[name, vm] : view->state.vms()) {
-        // A VM that is leaving answers those who know it for a while yet, but nobody new is sent there.
+        // A leaving VM still serves existing clients but is not listed for new ones.
         if (vm.state == VmState::Live) {
             vms.push_back(&vm);
         }
     }
-    // Each asker gets another order, so that callers who take the first address spread over all.
+    // The owner comes first; the rest is shuffled per request to spread clients that use the first address.
     const std::uint64_t salt = randomIdentity();
-    const auto place = [&](const VmRecord *vm) { return std::pair(vm->name != owner, stableHash(vm->name, salt)); };
-    std::sort(vms.begin(), vms.end(), [&](const VmRecord *a, const VmRecord *b) { return place(a) < place(b); });
+    const auto rank = [&](const VmRecord *vm) { return std::pair(vm->name != owner, stableHash(vm->name, salt)); };
+    std::sort(vms.begin(), vms.end(), [&](const VmRecord *a, const VmRecord *b) { return rank(a) < rank(b); });
     json::array list;
     for (const VmRecord *vm : vms) {
         list.push_back(json::object {{"name", vm->name},
@@ -181,7 +181,7 @@
     return textResponse(json::serialize(body) + "\n", "application/json");
 }
 
-HttpResponse ApiServer::models(const Caller &caller) const
+HttpResponse ApiServer::listModels(const Caller &caller) const
 {
     const auto view = parts_.replica.view();
     std::set<std::string> names;
@@ -204,20 +204,19 @@
     const std::string_view key = bearerKey(request);
     const Caller *caller = key.empty() ? nullptr : view->configuration.callerByKey(key);
     if (!parts_.control.isCurrent()) {
-        // Guards against a configuration that is in force everywhere but here: without word from the leader this VM
-        // can't know whether its own is still valid.
-        Error error = makeError(ErrorKind::NotReady, "this VM has lost touch with the others; ask another one");
+        // Without contact with the leader, this VM may hold an outdated configuration.
+        Error error = makeError(ErrorKind::NotReady, "this VM has lost contact with the leader; retry on another VM");
         error.retryAfter = Milliseconds(1000);
         co_await responder.respond(errorResponse(error));
         co_return;
     }
     if (caller == nullptr) {
         co_await responder.respond(errorResponse(
-            makeError(ErrorKind::Unauthenticated, "a caller's key is needed: Authorization: Bearer KEY")));
+            makeError(ErrorKind::Unauthenticated, "a caller key is required: Authorization: Bearer KEY")));
         co_return;
     }
     if (request.path == "/v1/models" && request.method == "GET") {
-        co_await responder.respond(models(*caller));
+        co_await responder.respond(listModels(*caller));
         co_return;
     }
     Result<ApiRequest> api = toApiRequest(request, *caller);
@@ -242,12 +241,12 @@
         co_return;
     }
     if (!admitted) {
-        // "Not run" has to stand for the key, so the owner keeps it; if it has accepted a copy before, it answers that.
+        // The owner records the refusal under the idempotency key, or answers with a call it accepted under it before.
         request.refusal = admitted.error();
     }
     co_await forward(std::move(request), responder);
     if (admitted) {
-        parts_.gate.leave(caller);
+        parts_.gate.release(caller);
     }
 }
 
@@ -266,7 +265,7 @@
     api.body = request.body;
     if (api.idempotencyKey.size() > maxKeyLength || !isCleanUtf8(api.idempotencyKey)) {
         return makeError(ErrorKind::InvalidRequest,
-                         fmt::format("'Idempotency-Key' has to be text of at most {} bytes", maxKeyLength));
+                         fmt::format("'Idempotency-Key' must be valid UTF-8 text of at most {} bytes", maxKeyLength));
     }
     if (!isCleanUtf8(request.body)) {
         return makeError(ErrorKind::InvalidRequest, "the body is not valid UTF-8 text");
@@ -274,64 +273,66 @@
     const std::vector<std::string_view> path = splitPath(request.path);
     if (path.size() >= 2 && path[0] == "v1" && path[1] == "programs") {
         if (path.size() == 2) {
-            BOOST_OUTCOME_TRYV(readCreation(request, caller, api));
+            BOOST_OUTCOME_TRYV(parseCreation(request, caller, api));
         } else {
-            BOOST_OUTCOME_TRYV(readProgramRoute(request, path, api));
+            BOOST_OUTCOME_TRYV(parseProgramRoute(request, path, api));
         }
         return api;
     }
     if (request.path == "/v1/chat/completions") {
-        BOOST_OUTCOME_TRYV(readChat(request, caller, api));
+        BOOST_OUTCOME_TRYV(parseChat(request, caller, api));
         return api;
     }
-    return notOffered(request);
+    return unknownRoute(request);
 }
 
 ProgramId ApiServer::newProgramId(const ApiRequest &api, const ProgramId &parent) const
 {
     const bool hasKey = !api.idempotencyKey.empty();
     ProgramId id = hasKey ? programIdForKey(api.caller, api.idempotencyKey) : makeProgramId();
-    // A sub-agent's program lives in its parent's partition, so that one owner holds the budget of both.
+    // A child program shares its parent's partition, so that one owner manages the budget of both.
     for (int i = 0;
-         !parent.empty() && i < maxIdTries && parts_.table.partitionOf(id) != parts_.table.partitionOf(parent); ++i) {
+         !parent.empty() && i < maxIdAttempts && parts_.table.partitionOf(id) != parts_.table.partitionOf(parent);
+         ++i) {
         id = hasKey ? programIdForKey(api.caller, fmt::format("{}#{}", api.idempotencyKey, i)) : makeProgramId();
     }
     return id;
 }
 
-Result<void> ApiServer::readCreation(const HttpRequest &request, const Caller &caller, ApiRequest &api) const
+Result<void> ApiServer::parseCreation(const HttpRequest &request, const Caller &caller, ApiRequest &api) const
 {
     if (request.method != "POST") {
-        return wrongMethod(request);
+        return methodNotAllowed(request);
     }
-    BOOST_OUTCOME_TRY(const ProgramRequest asked, parseProgramRequest(request.body));
-    BOOST_OUTCOME_TRYV(checkAllowed(parts_.replica.view()->configuration, caller, asked.deployment, asked.workClass));
+    BOOST_OUTCOME_TRY(const ProgramRequest programRequest, parseProgramRequest(request.body));
+    BOOST_OUTCOME_TRYV(checkPermissions(parts_.replica.view()->configuration, caller, programRequest.deployment,
+                                        programRequest.workClass));
     api.operation = ApiOperation::CreateProgram;
-    api.program = newProgramId(api, asked.parent);
+    api.program = newProgramId(api, programRequest.parent);
     return boost::outcome_v2::success();
 }
 
-Result<void> ApiServer::readProgramRoute(const HttpRequest &request, const std::vector<std::string_view> &path,
-                                         ApiRequest &api) const
+Result<void> ApiServer::parseProgramRoute(const HttpRequest &request, const std::vector<std::string_view> &path,
+                                          ApiRequest &api) const
 {
     api.program = std::string(path[2]);
     if (!isProgramId(api.program)) {
-        return makeError(ErrorKind::NotFound, "there is no program '" + api.program + "'");
+        return makeError(ErrorKind::NotFound, "unknown program '" + api.program + "'");
     }
     const std::string_view part = path.size() > 3 ? path[3] : std::string_view {};
     const bool isRead = request.method == "GET";
     if (path.size() == 3) {
         api.operation = isRead ? ApiOperation::GetProgram : ApiOperation::EndProgram;
         return isRead || request.method == "DELETE" ? Result<void>(boost::outcome_v2::success())
-                                                    : Result<void>(wrongMethod(request));
+                                                    : Result<void>(methodNotAllowed(request));
     }
     if (path.size() == 4 && (part == "history" || part == "explanation")) {
         api.operation = part == "history" ? ApiOperation::GetHistory : ApiOperation::Explain;
-        return isRead ? Result<void>(boost::outcome_v2::success()) : Result<void>(wrongMethod(request));
+        return isRead ? Result<void>(boost::outcome_v2::success()) : Result<void>(methodNotAllowed(request));
     }
     if (path.size() == 4 && part == "calls") {
         if (request.method != "POST") {
-            return wrongMethod(request);
+            return methodNotAllowed(request);
         }
         BOOST_OUTCOME_TRY(const CallRequest call, parseCallRequest(request.body));
         api.operation = ApiOperation::SubmitCall;
@@ -342,7 +343,7 @@
     if (path.size() == 5 && part == "calls") {
         const auto sequence = parseNumber<std::uint32_t>(path[4]);
         if (!sequence || !isRead) {
-            return sequence ? wrongMethod(request) : notOffered(request);
+            return sequence ? methodNotAllowed(request) : unknownRoute(request);
         }
         api.operation = ApiOperation::FetchCall;
         api.sequence = *sequence;
@@ -351,20 +352,20 @@
         api.isStream = !last.empty() || request.header("Accept") == "text/event-stream";
         return boost::outcome_v2::success();
     }
-    return notOffered(request);
+    return unknownRoute(request);
 }
 
-Result<void> ApiServer::readChat(const HttpRequest &request, const Caller &caller, ApiRequest &api) const
+Result<void> ApiServer::parseChat(const HttpRequest &request, const Caller &caller, ApiRequest &api) const
 {
     if (request.method != "POST") {
-        return wrongMethod(request);
+        return methodNotAllowed(request);
     }
     std::string model;
     BOOST_OUTCOME_TRY(const CallRequest call, parseChatRequest(request.body, model));
     const auto view = parts_.replica.view();
     const Deployment *deployment = view->configuration.findModel(model, caller);
     if (deployment == nullptr) {
-        return makeError(ErrorKind::NotFound, "there is no model '" + model + "'");
+        return makeError(ErrorKind::NotFound, "unknown model '" + model + "'");
     }
     api.form = ApiForm::ChatCompletion;
     api.isStream = call.isStream;
@@ -373,7 +374,7 @@
         api.operation = ApiOperation::SubmitCall;
         return isProgramId(api.program)
             ? Result<void>(boost::outcome_v2::success())
-            : Result<void>(makeError(ErrorKind::NotFound, "there is no program '" + api.program + "'"));
+            : Result<void>(makeError(ErrorKind::NotFound, "unknown program '" + api.program + "'"));
     }
     api.operation = ApiOperation::SingleCall;
     api.program = newProgramId(api, {});
@@ -383,7 +384,7 @@
             api.workClass = workClass;
         }
     }
-    return checkAllowed(view->configuration, caller, deployment->name, api.workClass);
+    return checkPermissions(view->configuration, caller, deployment->name, api.workClass);
 }
 
 } // namespace cardamompost
--- a/src/daemon/cp_api_server.hpp
+++ b/src/daemon/cp_api_server.hpp
@@ -10,7 +10,7 @@
 namespace cardamompost
 {
 
-//! The HTTP interface of a VM: callers, operators, and what watches the process.
+//! HTTP server of a VM: the caller API, the operator API, health checks and metrics.
 class ApiServer
 {
 public:
@@ -28,10 +28,10 @@
 
     ApiServer(boost::asio::any_io_executor executor, Parts parts);
 
-    //! Errors: InvalidConfiguration when the address can't be used.
+    //! Starts listening. Errors: InvalidConfiguration when the address can't be used.
     Result<void> start();
     void stopAccepting();
-    //! Requests that are being answered.
+    //! Number of requests in progress.
     [[nodiscard]] int active() const
     {
         return active_;
@@ -45,14 +45,15 @@
     boost::asio::awaitable<void> forwardCall(ApiRequest request, IHttpResponder &responder);
 
     [[nodiscard]] Result<ApiRequest> toApiRequest(const HttpRequest &request, const Caller &caller) const;
-    Result<void> readProgramRoute(const HttpRequest &request, const std::vector<std::string_view> &path,
-                                  ApiRequest &api) const;
-    Result<void> readChat(const HttpRequest &request, const Caller &caller, ApiRequest &api) const;
-    Result<void> readCreation(const HttpRequest &request, const Caller &caller, ApiRequest &api) const;
+    Result<void> parseProgramRoute(const HttpRequest &request, const std::vector<std::string_view> &path,
+                                   ApiRequest &api) const;
+    Result<void> parseChat(const HttpRequest &request, const Caller &caller, ApiRequest &api) const;
+    Result<void> parseCreation(const HttpRequest &request, const Caller &caller, ApiRequest &api) const;
     [[nodiscard]] ProgramId newProgramId(const ApiRequest &api, const ProgramId &parent) const;
-    [[nodiscard]] HttpResponse entries(const HttpRequest &request) const;
-    [[nodiscard]] HttpResponse models(const Caller &caller) const;
-    [[nodiscard]] std::optional<HttpResponse> openRoute(const HttpRequest &request) const;
+    [[nodiscard]] HttpResponse listEntries(const HttpRequest &request) const;
+    [[nodiscard]] HttpResponse listModels(const Caller &caller) const;
+    //! Response of a route that needs no key; empty for every other route.
+    [[nodiscard]] std::optional<HttpResponse> publicRoute(const HttpRequest &request) const;
 
     Parts parts_;
     HttpServer server_;
--- a/src/daemon/cp_caller_limits.cpp
+++ b/src/daemon/cp_caller_limits.cpp
@@ -13,20 +13,20 @@
 namespace
 {
 
-// Calls that may come at once after a pause, in seconds of the caller's rate.
+// Burst size, in seconds of the caller's rate.
 constexpr double burstSeconds = 0.2;
-// What a VM asks for at a time, in seconds of the rate: the larger, the fewer messages, and the more may lie unused.
-constexpr double shareSeconds = 0.05;
-// Unused calls are dropped after this; the grantor counted them as spent when it gave them.
-constexpr Milliseconds stockLife {1000};
-constexpr Milliseconds askTimeout {500};
-constexpr Milliseconds askPause {50};
-// Longer than a takeover: a caller is not refused because its grantor has just been lost.
+// Tokens requested at a time, in seconds of the rate: larger requests need fewer messages but leave more tokens unused.
+constexpr double requestSeconds = 0.05;
+// Unused tokens expire; the grantor counts them as spent when it grants them.
+constexpr Milliseconds allowanceLifetime {1000};
+constexpr Milliseconds grantTimeout {500};
+constexpr Milliseconds retryDelay {50};
+// Longer than a partition takeover, so that calls are not refused while the grantor fails over.
 constexpr Milliseconds admitTimeout {3000};
-// A caller whose next call is due this soon waits here instead of being refused.
-constexpr Milliseconds shortWait {100};
+// Calls that would be admitted within this time wait instead of being refused.
+constexpr Milliseconds maxLocalWait {100};
 
-double burstOf(double perSecond)
+double burstFor(double perSecond)
 {
     return std::max(1.0, perSecond * burstSeconds);
 }
@@ -59,13 +59,13 @@
     const TimePoint now = std::chrono::steady_clock::now();
     const double rate = caller->callsPerSecond;
     const std::lock_guard lock(mutex_);
-    auto share = shares_.find(request.caller);
-    if (share == shares_.end() || share->second.epoch != epoch.value()) {
+    auto entry = buckets_.find(request.caller);
+    if (entry == buckets_.end() || entry->second.epoch != epoch.value()) {
         TokenBucket empty(rate, 0.0, now);
-        share = shares_.insert_or_assign(request.caller, Share {empty, epoch.value()}).first;
+        entry = buckets_.insert_or_assign(request.caller, CallerBucket {empty, epoch.value()}).first;
     }
-    TokenBucket &bucket = share->second.bucket;
-    bucket.setRate(rate, burstOf(rate), now);
+    TokenBucket &bucket = entry->second.bucket;
+    bucket.setRate(rate, burstFor(rate), now);
     LimitReply reply;
     while (reply.granted < request.wanted && bucket.tryTake(1.0, now)) {
         ++reply.granted;
@@ -79,7 +79,7 @@
 {
 }
 
-Error CallerGate::overLimit(const std::string &caller, std::string text, Milliseconds retryAfter)
+Error CallerGate::overLimitError(const std::string &caller, std::string text, Milliseconds retryAfter)
 {
     parts_.metrics.counter("cardamompost_limited_requests_total", {{"caller", caller}}).add();
     Error error = makeError(ErrorKind::OverLimit, std::move(text));
@@ -88,21 +88,21 @@
     return error;
 }
 
-bool CallerGate::takeFromStock(const std::string &caller, TimePoint now)
+bool CallerGate::tryTakeToken(const std::string &caller, TimePoint now)
 {
     const std::lock_guard lock(mutex_);
-    Stock &stock = stocks_[caller];
-    if (now > stock.expires) {
-        stock.tokens = 0;
+    Allowance &allowance = allowances_[caller];
+    if (now > allowance.expires) {
+        allowance.tokens = 0;
     }
-    if (stock.tokens < 1.0) {
+    if (allowance.tokens < 1.0) {
         return false;
     }
-    stock.tokens -= 1.0;
+    allowance.tokens -= 1.0;
     return true;
 }
 
-asio::awaitable<Result<LimitReply>> CallerGate::ask(LimitRequest request)
+asio::awaitable<Result<LimitReply>> CallerGate::requestTokens(LimitRequest request)
 {
     const auto view = parts_.replica.view();
     const VmName owner = view->state.partitions()[parts_.grantor.partitionOf(request.caller)].owner;
@@ -111,17 +111,17 @@
     }
     const auto client = parts_.hub.client(owner);
     if (!client) {
-        co_return makeError(ErrorKind::NotOwner, "nobody gives out the caller's calls now");
+        co_return makeError(ErrorKind::NotOwner, "the partition of the caller's rate limit has no reachable owner");
     }
     FrameBody body = std::move(request);
-    Result<FrameBody> reply = co_await client->call(std::move(body), askTimeout);
+    Result<FrameBody> reply = co_await client->call(std::move(body), grantTimeout);
     if (!reply) {
         co_return reply.error();
     }
     if (const auto *granted = std::get_if<LimitReply>(&reply.value())) {
         co_return *granted;
     }
-    co_return makeError(ErrorKind::Internal, "a share was asked for and something else came");
+    co_return makeError(ErrorKind::Internal, "unexpected reply to a rate limit request");
 }
 
 asio::awaitable<Result<void>> CallerGate::admit(std::string caller)
@@ -130,48 +130,48 @@
     const auto view = parts_.replica.view();
     const Caller *declared = view->configuration.findCaller(caller);
     if (declared == nullptr) {
-        co_return makeError(ErrorKind::Forbidden, "the caller is not declared any more");
+        co_return makeError(ErrorKind::Forbidden, "the caller is no longer declared");
     }
     {
         const std::lock_guard lock(mutex_);
-        Stock &stock = stocks_[caller];
-        if (stock.active >= declared->concurrentCalls) {
-            co_return overLimit(caller, "too many calls of the caller are under way on this VM", Milliseconds(500));
+        Allowance &allowance = allowances_[caller];
+        if (allowance.active >= declared->concurrentCalls) {
+            co_return overLimitError(caller, "the caller has too many concurrent calls on this VM", Milliseconds(500));
         }
-        ++stock.active;
+        ++allowance.active;
     }
-    const double wanted = std::max(1.0, std::ceil(declared->callsPerSecond * shareSeconds));
+    const double wanted = std::max(1.0, std::ceil(declared->callsPerSecond * requestSeconds));
     Milliseconds retryAfter {1000};
     while (std::chrono::steady_clock::now() < deadline) {
-        if (takeFromStock(caller, std::chrono::steady_clock::now())) {
+        if (tryTakeToken(caller, std::chrono::steady_clock::now())) {
             co_return boost::outcome_v2::success();
         }
         LimitRequest request {caller, static_cast<std::uint32_t>(wanted)};
-        const Result<LimitReply> reply = co_await ask(std::move(request));
+        const Result<LimitReply> reply = co_await requestTokens(std::move(request));
         if (reply && reply.value().granted > 0) {
             const std::lock_guard lock(mutex_);
-            Stock &stock = stocks_[caller];
-            stock.tokens
-                = (std::chrono::steady_clock::now() > stock.expires ? 0.0 : stock.tokens) + reply.value().granted;
-            stock.expires = std::chrono::steady_clock::now() + stockLife;
+            Allowance &allowance = allowances_[caller];
+            allowance.tokens = (std::chrono::steady_clock::now() > allowance.expires ? 0.0 : allowance.tokens)
+                + reply.value().granted;
+            allowance.expires = std::chrono::steady_clock::now() + allowanceLifetime;
             continue;
         }
         if (reply) {
             retryAfter = Milliseconds(reply.value().retryAfterMs);
         }
-        if (reply && retryAfter > shortWait) {
+        if (reply && retryAfter > maxLocalWait) {
             break;
         }
-        co_await sleepFor(reply ? std::max(Milliseconds(1), retryAfter) : askPause);
+        co_await sleepFor(reply ? std::max(Milliseconds(1), retryAfter) : retryDelay);
     }
-    leave(caller);
-    co_return overLimit(caller, "the caller has made more calls than its rate allows", retryAfter);
+    release(caller);
+    co_return overLimitError(caller, "the caller has exceeded its rate limit", retryAfter);
 }
 
-void CallerGate::leave(const std::string &caller)
+void CallerGate::release(const std::string &caller)
 {
     const std::lock_guard lock(mutex_);
-    --stocks_[caller].active;
+    --allowances_[caller].active;
 }
 
 } // namespace cardamompost
--- a/src/daemon/cp_caller_limits.hpp
+++ b/src/daemon/cp_caller_limits.hpp
@@ -8,22 +8,22 @@
 namespace cardamompost
 {
 
-//! Gives out a caller's calls a second to the VMs that ask, so that all of them together keep to it.
+//! Grants rate-limit tokens to VMs, so that a caller's rate holds across all of them.
 //!
-//! The VM that owns the partition of the caller's name gives them out. A new one begins with nothing: what its
-//! predecessor gave out and is not used yet counts as spent. Thread-safe.
+//! Runs on the owner of the partition that the caller's name maps to. A new owner starts with an empty bucket, since
+//! tokens granted by the previous owner may still be unused. Thread-safe.
 class LimitGrantor
 {
 public:
     LimitGrantor(ControlReplica &replica, PartitionTable &table);
 
-    //! Errors: NotOwner; NotFound for a caller that is not declared.
+    //! Errors: NotOwner; NotFound for an undeclared caller.
     Result<LimitReply> grant(const LimitRequest &request);
-    //! The partition whose owner gives out a caller's calls.
+    //! Returns the partition whose owner grants a caller's tokens.
     [[nodiscard]] PartitionId partitionOf(const std::string &caller) const;
 
 private:
-    struct Share {
+    struct CallerBucket {
         TokenBucket bucket;
         Epoch epoch = 0;
     };
@@ -31,10 +31,11 @@
     ControlReplica &replica_;
     PartitionTable &table_;
     std::mutex mutex_;
-    std::map<std::string, Share> shares_;
+    std::map<std::string, CallerBucket> buckets_;
 };
 
-//! A VM's gate for callers: their calls a second by what the grantor gives, and their calls at once. Thread-safe.
+//! Admission control of a VM: enforces each caller's rate, with tokens from the grantor, and its concurrency limit.
+//! Thread-safe.
 class CallerGate
 {
 public:
@@ -48,25 +49,26 @@
 
     explicit CallerGate(Parts parts);
 
-    //! Lets a call in, or waits a little for the grantor. Errors: OverLimit with the time to come back.
+    //! Admits a call, waiting briefly for tokens if needed. Errors: Forbidden for an undeclared caller; OverLimit with
+    //! a retry delay.
     boost::asio::awaitable<Result<void>> admit(std::string caller);
-    //! A call that was let in has its answer.
-    void leave(const std::string &caller);
+    //! Must be called once for each admitted call when it has completed.
+    void release(const std::string &caller);
 
 private:
-    struct Stock {
+    struct Allowance {
         double tokens = 0;
         TimePoint expires {};
         int active = 0;
     };
 
-    [[nodiscard]] bool takeFromStock(const std::string &caller, TimePoint now);
-    boost::asio::awaitable<Result<LimitReply>> ask(LimitRequest request);
-    [[nodiscard]] Error overLimit(const std::string &caller, std::string text, Milliseconds retryAfter);
+    [[nodiscard]] bool tryTakeToken(const std::string &caller, TimePoint now);
+    boost::asio::awaitable<Result<LimitReply>> requestTokens(LimitRequest request);
+    [[nodiscard]] Error overLimitError(const std::string &caller, std::string text, Milliseconds retryAfter);
 
     Parts parts_;
     std::mutex mutex_;
-    std::map<std::string, Stock> stocks_;
+    std::map<std::string, Allowance> allowances_;
 };
 
 } // namespace cardamompost
--- a/src/daemon/cp_engine_client.cpp
+++ b/src/daemon/cp_engine_client.cpp
@@ -14,14 +14,13 @@
 namespace
 {
 
-// Silence after which a stream is taken for lost and resumed on another connection. Engines send a comment line at
-// least every second while they work.
-constexpr Milliseconds streamSilence {3000};
-constexpr Milliseconds orderTimeout {2000};
+// Idle streams are resumed on another connection. Engines send a comment line at least every second while they work.
+constexpr Milliseconds streamIdleTimeout {3000};
+constexpr Milliseconds commandTimeout {2000};
 constexpr unsigned statusOk = 200;
 constexpr unsigned statusNotFound = 404;
 
-std::int64_t numberAt(const json::object &object, std::string_view key)
+std::int64_t integerOrZero(const json::object &object, std::string_view key)
 {
     const json::value *value = object.if_contains(key);
     return value != nullptr && value->is_int64() ? value->as_int64() : 0;
@@ -33,15 +32,15 @@
     if (usage == nullptr || !usage->is_object()) {
         return;
     }
-    result.promptTokens = numberAt(usage->as_object(), "prompt_tokens");
-    result.completionTokens = numberAt(usage->as_object(), "completion_tokens");
+    result.promptTokens = integerOrZero(usage->as_object(), "prompt_tokens");
+    result.completionTokens = integerOrZero(usage->as_object(), "completion_tokens");
     const json::value *details = usage->as_object().if_contains("prompt_tokens_details");
     if (details != nullptr && details->is_object()) {
-        result.cachedTokens = numberAt(details->as_object(), "cached_tokens");
+        result.cachedTokens = integerOrZero(details->as_object(), "cached_tokens");
     }
 }
 
-//! Takes the chunks of a chat completion stream.
+//! Parses the chunks of a chat completion stream.
 class ChunkReader
 {
 public:
@@ -50,7 +49,8 @@
     {
     }
 
-    bool take(const SseEvent &event)
+    //! Returns false at the end of the stream.
+    bool consume(const SseEvent &event)
     {
         if (event.data == "[DONE]") {
             result.end = EngineEnd::Finished;
@@ -66,13 +66,13 @@
         if (choices == nullptr || !choices->is_array() || choices->as_array().empty()) {
             return true;
         }
-        return takeChoice(event.id, choices->as_array().front());
+        return consumeChoice(event.id, choices->as_array().front());
     }
 
     EngineResult result;
 
 private:
-    bool takeChoice(std::uint64_t id, const json::value &choice)
+    bool consumeChoice(std::uint64_t id, const json::value &choice)
     {
         const json::object *fields = choice.if_object();
         const json::value *reason = fields == nullptr ? nullptr : fields->if_contains("finish_reason");
@@ -108,8 +108,8 @@
     call.target = "/v1/chat/completions";
     call.headers["Content-Type"] = "application/json";
     call.body = json::serialize(request);
-    call.timeout = std::min(timeLeft, streamSilence);
-    call.stallTimeout = streamSilence;
+    call.timeout = std::min(timeLeft, streamIdleTimeout);
+    call.stallTimeout = streamIdleTimeout;
     return stream(std::move(call), std::move(watch));
 }
 
@@ -120,8 +120,8 @@
     call.address = replica.address;
     call.target = "/v1/streams/" + attempt;
     call.headers["Last-Event-ID"] = std::to_string(after);
-    call.timeout = std::min(timeLeft, streamSilence);
-    call.stallTimeout = streamSilence;
+    call.timeout = std::min(timeLeft, streamIdleTimeout);
+    call.stallTimeout = streamIdleTimeout;
     return stream(std::move(call), std::move(watch));
 }
 
@@ -129,14 +129,14 @@
 {
     SseParser parser;
     ChunkReader reader(std::move(watch.onToken));
-    const auto take = [&reader](const SseEvent &event) { return reader.take(event); };
+    const auto consume = [&reader](const SseEvent &event) { return reader.consume(event); };
     auto onData = [&](std::string_view bytes) {
-        const bool goesOn = parser.feed(bytes, take);
-        if (goesOn && !watch.isWanted()) {
+        const bool shouldContinue = parser.feed(bytes, consume);
+        if (shouldContinue && !watch.isWanted()) {
             reader.result.end = EngineEnd::Stopped;
             return false;
         }
-        return goesOn;
+        return shouldContinue;
     };
     HttpClient::DataHandler handler = std::move(onData);
     const Result<HttpResponse> answer = co_await http_.stream(std::move(call), std::move(handler));
@@ -162,7 +162,7 @@
     call.address = replica.address;
     call.method = "DELETE";
     call.target = "/v1/streams/" + attempt;
-    call.timeout = orderTimeout;
+    call.timeout = commandTimeout;
     const Result<HttpResponse> answer = co_await http_.request(std::move(call));
     co_return answer &&answer.value().status == statusOk;
 }
@@ -175,7 +175,7 @@
     call.target = "/v1/cache/release";
     call.headers["Content-Type"] = "application/json";
     call.body = json::serialize(json::object {{"program", program}});
-    call.timeout = orderTimeout;
+    call.timeout = commandTimeout;
     const Result<HttpResponse> answer = co_await http_.request(std::move(call));
     co_return answer &&answer.value().status == statusOk;
 }
@@ -185,7 +185,7 @@
     HttpCall call;
     call.address = replica.address;
     call.target = "/v1/cache/programs";
-    call.timeout = orderTimeout;
+    call.timeout = commandTimeout;
     const Result<HttpResponse> answer = co_await http_.request(std::move(call));
     if (!answer) {
         co_return answer.error();
--- a/src/daemon/cp_engine_client.hpp
+++ b/src/daemon/cp_engine_client.hpp
@@ -10,18 +10,18 @@
 namespace cardamompost
 {
 
-//! How a stream from an engine ended.
+//! How an engine stream ended.
 enum class EngineEnd {
     Finished,
-    //! No connection could be made; the engine has nothing of it.
+    //! No connection could be made; the engine did not receive the request.
     NotSent,
-    //! The engine answered that it does not take the attempt.
+    //! The engine rejected the attempt.
     Refused,
-    //! It was cut or went silent; the engine may still work on it.
+    //! The stream was interrupted or timed out; the engine may still be running the attempt.
     Broken,
-    //! The engine knows no such attempt.
+    //! The engine doesn't know the attempt.
     NotKnown,
-    //! The watcher did not want more.
+    //! Ended by Watch::isWanted.
     Stopped,
 };
 
@@ -34,13 +34,13 @@
     std::int64_t cachedTokens = 0;
 };
 
-//! Speaks to model engines: chat completions with streams that can be resumed and cancelled, and their cache.
+//! Client for model engines: resumable, cancellable chat completion streams, and cache management.
 class EngineClient
 {
 public:
-    //! \param position  number of tokens of this attempt so far
+    //! \param position  number of tokens received in this attempt so far
     using TokenHandler = std::function<void(std::uint64_t position, std::string text)>;
-    //! Asked whenever something arrives, also a sign of life; false ends the stream.
+    //! Called for any data received, including keep-alives; returning false ends the stream.
     using WantedHandler = std::function<bool()>;
 
     struct Watch {
@@ -53,14 +53,14 @@
     //! Starts an attempt.
     boost::asio::awaitable<EngineResult> start(Replica replica, boost::json::object request, Milliseconds timeLeft,
                                                Watch watch);
-    //! Goes on with an attempt's stream behind a position.
+    //! Resumes an attempt's stream after a position.
     boost::asio::awaitable<EngineResult> resume(Replica replica, std::string attempt, std::uint64_t after,
                                                 Milliseconds timeLeft, Watch watch);
-    //! Stops an attempt. True: the engine has confirmed that it does not work on it, and never will.
+    //! Cancels an attempt. Returns true if the engine confirmed that it isn't running the attempt and never will.
     boost::asio::awaitable<bool> cancel(Replica replica, std::string attempt);
-    //! The programs that an engine holds something for. Errors as HttpClient::request().
+    //! Lists the programs that an engine holds cache entries for. Errors as HttpClient::request().
     boost::asio::awaitable<Result<std::vector<ProgramId>>> heldPrograms(Replica replica);
-    //! Frees what an engine holds for a program. True: confirmed.
+    //! Releases an engine's cache entries for a program. Returns true if the engine confirmed it.
     boost::asio::awaitable<bool> release(Replica replica, ProgramId program);
 
 private:
--- a/src/daemon/cp_hold_sweeper.cpp
+++ b/src/daemon/cp_hold_sweeper.cpp
@@ -15,15 +15,15 @@
 {
 
 constexpr Milliseconds sweepInterval {5000};
-// Programs of one replica that are asked for in one sweep; the rest comes with the next.
-constexpr std::size_t maxChecks = 64;
+// Limit per replica; the remaining programs are checked in later sweeps.
+constexpr std::size_t maxChecksPerSweep = 64;
 
 } // namespace
 
 HoldSweeper::HoldSweeper(asio::any_io_executor executor, Parts parts)
     : executor_(std::move(executor))
     , parts_(parts)
-    , freed_(parts.metrics.counter("cardamompost_swept_holds_total"))
+    , releasedHolds_(parts.metrics.counter("cardamompost_swept_holds_total"))
 {
 }
 
@@ -37,18 +37,18 @@
     isStopped_ = true;
 }
 
-bool HoldSweeper::isSweptHere(const ControlView &view, const Replica &replica) const
+bool HoldSweeper::isResponsibleFor(const ControlView &view, const Replica &replica) const
 {
-    VmName chosen;
+    VmName selected;
     std::uint64_t highest = 0;
     for (const auto &[name, vm] : view.state.vms()) {
         const std::uint64_t weight = stableHash(name, stableHash(replica.name));
         if (vm.state == VmState::Live && weight >= highest) {
             highest = weight;
-            chosen = name;
+            selected = name;
         }
     }
-    return chosen == parts_.settings.vm;
+    return selected == parts_.settings.vm;
 }
 
 asio::awaitable<void> HoldSweeper::run()
@@ -58,7 +58,7 @@
         const auto view = parts_.replica.view();
         for (const auto &[name, deployment] : view->configuration.deployments()) {
             for (const Replica &replica : deployment.replicas) {
-                if (isSweptHere(*view, replica)) {
+                if (isResponsibleFor(*view, replica)) {
                     co_await sweep(replica);
                 }
             }
@@ -72,19 +72,20 @@
     if (!held) {
         co_return;
     }
-    const std::set<ProgramId> before = std::exchange(seen_[replica.name], {held.value().begin(), held.value().end()});
+    const std::set<ProgramId> previous
+        = std::exchange(previouslyHeld_[replica.name], {held.value().begin(), held.value().end()});
     std::size_t checks = 0;
     for (const ProgramId &program : held.value()) {
-        if (!before.contains(program) || ++checks > maxChecks) {
+        if (!previous.contains(program) || ++checks > maxChecksPerSweep) {
             continue;
         }
-        const bool isLeftOver = co_await isGone(program);
-        if (!isLeftOver) {
+        const bool isOrphaned = co_await isGone(program);
+        if (!isOrphaned) {
             continue;
         }
         const bool isReleased = co_await parts_.engines.release(replica, program);
         if (isReleased) {
-            freed_.add();
+            releasedHolds_.add();
             parts_.log.info("hold.swept", {{"program", program}, {"backend", replica.name}});
         }
     }
@@ -96,7 +97,7 @@
     request.operation = ApiOperation::CheckHold;
     request.program = std::move(program);
     bool isGone = false;
-    // Only the owner's word counts; without one the hold stays until the next sweep.
+    // Only the owner can confirm that a program has ended; without a reply, the entry stays until the next sweep.
     Router::Deliver deliver = [&isGone](ApiChunk chunk) -> asio::awaitable<bool> {
         isGone = isGone || chunk.body == R"({"gone":true})";
         co_return true;
--- a/src/daemon/cp_hold_sweeper.hpp
+++ b/src/daemon/cp_hold_sweeper.hpp
@@ -6,11 +6,11 @@
 namespace cardamompost
 {
 
-//! Compares what engines hold with the programs that are alive, and frees the rest.
+//! Releases engine cache entries of programs that have ended.
 //!
-//! Owners release what their programs held; what they can't know of is left over: an attempt that reached an engine
-//! after its program had ended, or an engine that was told by a system that is gone. Each replica is swept by one VM,
-//! chosen by hash among those that are live, so that all of them share the work.
+//! Owners release what their programs hold, but miss entries of attempts that reached an engine after their program
+//! ended, and entries of programs that the system has no record of. Each replica is swept by one live VM, selected by
+//! rendezvous hashing.
 class HoldSweeper
 {
 public:
@@ -32,15 +32,15 @@
     boost::asio::awaitable<void> run();
     boost::asio::awaitable<void> sweep(Replica replica);
     boost::asio::awaitable<bool> isGone(ProgramId program);
-    [[nodiscard]] bool isSweptHere(const ControlView &view, const Replica &replica) const;
+    [[nodiscard]] bool isResponsibleFor(const ControlView &view, const Replica &replica) const;
 
     boost::asio::any_io_executor executor_;
     Parts parts_;
-    //! What was held at the last sweep, by replica. Only what is there twice is looked at, since a program that has
-    //! just ended is about to be released by its owner.
-    std::map<std::string, std::set<ProgramId>> seen_;
+    //! Programs held at the last sweep, by replica. Only programs seen in two consecutive sweeps are checked, to give
+    //! owners time to release them.
+    std::map<std::string, std::set<ProgramId>> previouslyHeld_;
     std::atomic<bool> isStopped_ {false};
-    Counter &freed_;
+    Counter &releasedHolds_;
 };
 
 } // namespace cardamompost
--- a/src/daemon/cp_http_answer.cpp
+++ b/src/daemon/cp_http_answer.cpp
@@ -24,12 +24,12 @@
 asio::awaitable<bool> HttpAnswer::deliver(ApiChunk chunk)
 {
     const bool isComplete = !chunk.body.empty() && chunk.body.front() == '{';
-    if (!isStream_ || (isComplete && !hasBegun_)) {
+    if (!isStream_ || (isComplete && !hasStarted_)) {
         co_return co_await deliverComplete(std::move(chunk));
     }
-    if (!hasBegun_) {
-        hasBegun_ = co_await responder_.begin(statusOk, streamHeaders());
-        if (!hasBegun_) {
+    if (!hasStarted_) {
+        hasStarted_ = co_await responder_.begin(statusOk, streamHeaders());
+        if (!hasStarted_) {
             co_return false;
         }
     }
@@ -37,13 +37,13 @@
     if (bytes.empty()) {
         bytes = ": waiting\n\n";
     }
-    const bool isThere = co_await responder_.write(std::move(bytes));
+    const bool isConnected = co_await responder_.write(std::move(bytes));
     if (chunk.isLast) {
         HttpHeaders trailers;
         trailers["Cardamompost-Outcome"] = nameOf(outcomeNames, chunk.outcome.value_or(Outcome::Unknown));
         co_await responder_.end(std::move(trailers));
     }
-    co_return isThere;
+    co_return isConnected;
 }
 
 asio::awaitable<bool> HttpAnswer::deliverComplete(ApiChunk chunk)
--- a/src/daemon/cp_http_answer.hpp
+++ b/src/daemon/cp_http_answer.hpp
@@ -7,13 +7,13 @@
 namespace cardamompost
 {
 
-//! Writes the pieces of an answer to a caller: whole, or as an event stream.
+//! Writes an answer's chunks to a caller, as one response or as an event stream.
 class HttpAnswer
 {
 public:
     HttpAnswer(const ApiRequest &request, IHttpResponder &responder);
 
-    //! A piece without a body shows that the call goes on. False: the caller is gone.
+    //! A chunk without a body is a keep-alive. Returns false if the caller has disconnected.
     boost::asio::awaitable<bool> deliver(ApiChunk chunk);
 
 private:
@@ -22,7 +22,7 @@
 
     ProgramId program_;
     bool isStream_;
-    bool hasBegun_ = false;
+    bool hasStarted_ = false;
     IHttpResponder &responder_;
 };
 
--- a/src/daemon/cp_operator_api.cpp
+++ b/src/daemon/cp_operator_api.cpp
@@ -23,7 +23,7 @@
 constexpr Milliseconds proposeTimeout {6000};
 constexpr Milliseconds refreshTimeout {3000};
 constexpr std::int64_t maxWaitMs = 60'000;
-constexpr Milliseconds waitPause {50};
+constexpr Milliseconds pollInterval {50};
 
 HttpResponse jsonResponse(unsigned status, const json::object &body)
 {
@@ -36,7 +36,7 @@
 
 std::optional<std::uint64_t> parseVersion(std::string_view text)
 {
-    // Versions come quoted, as entity tags do, or bare.
+    // Accepts a bare version or a quoted entity tag.
     if (text.size() >= 2 && text.front() == '"' && text.back() == '"') {
         text = text.substr(1, text.size() - 2);
     }
@@ -46,10 +46,11 @@
                                                                                       : std::nullopt;
 }
 
-HttpResponse faultResponse(const std::vector<ConfigFault> &faults)
+HttpResponse invalidConfigurationResponse(const std::vector<ConfigFault> &faults)
 {
-    const Error error = makeError(ErrorKind::InvalidConfiguration,
-                                  fmt::format("the document has {} faults; nothing was changed", faults.size()));
+    const Error error
+        = makeError(ErrorKind::InvalidConfiguration,
+                    fmt::format("the document has {} errors; the configuration is unchanged", faults.size()));
     json::object body = errorBody(error);
     json::array list;
     for (const ConfigFault &fault : faults) {
@@ -71,7 +72,7 @@
             {"keeper", vm.isKeeper}};
 }
 
-json::array queueBodies(const std::vector<Dispatcher::QueueStatus> &queues)
+json::array queuesBody(const std::vector<Dispatcher::QueueStatus> &queues)
 {
     json::array list;
     for (const Dispatcher::QueueStatus &queue : queues) {
@@ -118,20 +119,20 @@
     const std::string_view key = bearerKey(request);
     const auto view = parts_.replica.view();
     if (key.empty()) {
-        return makeError(ErrorKind::Unauthenticated, "an operator's key is needed: Authorization: Bearer KEY");
+        return makeError(ErrorKind::Unauthenticated, "an operator key is required: Authorization: Bearer KEY");
     }
     if (const OperatorAccount *account = view->configuration.operatorByKey(key)) {
         return account->name;
     }
-    // The first key, from the settings, works until the document names operators of its own.
-    const bool isFirst = !view->configuration.hasOperators() && sha256Hex(key) == parts_.settings.bootstrapKeyHash;
-    if (isFirst) {
+    // The bootstrap key from the settings is valid until the configuration declares operators.
+    const bool isBootstrap = !view->configuration.hasOperators() && sha256Hex(key) == parts_.settings.bootstrapKeyHash;
+    if (isBootstrap) {
         return std::string("bootstrap");
     }
     if (view->configuration.callerByKey(key) != nullptr) {
-        return makeError(ErrorKind::Forbidden, "the key belongs to a caller, not to an operator");
+        return makeError(ErrorKind::Forbidden, "the key is a caller key, not an operator key");
     }
-    return makeError(ErrorKind::Unauthenticated, "the key is not known");
+    return makeError(ErrorKind::Unauthenticated, "unknown key");
 }
 
 asio::awaitable<HttpResponse> OperatorApi::handle(const HttpRequest &request)
@@ -141,20 +142,20 @@
         co_return errorResponse(author.error());
     }
     const std::vector<std::string_view> path = splitPath(request.path);
-    const std::string_view what = path.size() > 2 ? path[2] : std::string_view {};
-    if (what == "configuration" && path.size() == 3 && request.method == "GET") {
+    const std::string_view resource = path.size() > 2 ? path[2] : std::string_view {};
+    if (resource == "configuration" && path.size() == 3 && request.method == "GET") {
         co_return co_await getConfiguration();
     }
-    if (what == "configuration" && path.size() == 3 && request.method == "PUT") {
+    if (resource == "configuration" && path.size() == 3 && request.method == "PUT") {
         co_return co_await putConfiguration(request, author.value());
     }
-    if (what == "status" && path.size() == 3 && request.method == "GET") {
+    if (resource == "status" && path.size() == 3 && request.method == "GET") {
         co_return co_await status();
     }
-    if (what == "vms" && path.size() == 5 && path[4] == "drain" && request.method == "POST") {
+    if (resource == "vms" && path.size() == 5 && path[4] == "drain" && request.method == "POST") {
         co_return co_await drain(std::string(path[3]));
     }
-    const bool isKnown = what == "configuration" || what == "status" || (what == "vms" && path.size() == 5);
+    const bool isKnown = resource == "configuration" || resource == "status" || (resource == "vms" && path.size() == 5);
     co_return errorResponse(makeError(isKnown ? ErrorKind::MethodNotAllowed : ErrorKind::NotFound,
                                       request.method + " " + request.path + " is not offered"));
 }
@@ -176,7 +177,7 @@
 HttpResponse OperatorApi::conflict(const ControlState &state, std::uint64_t base, const std::string &submitted) const
 {
     const Error error = makeError(ErrorKind::VersionConflict,
-                                  fmt::format("the change is based on version {}, and version {} is in force", base,
+                                  fmt::format("the change is based on version {}, but the current version is {}", base,
                                               state.configurationVersion()));
     json::object body = errorBody(error);
     json::object &fields = body["error"].as_object();
@@ -195,7 +196,7 @@
     }
     const Configuration::ParseResult parsed = Configuration::parse(request.body);
     if (!parsed.faults.empty()) {
-        co_return faultResponse(parsed.faults);
+        co_return invalidConfigurationResponse(parsed.faults);
     }
     const Result<void> refreshed = co_await parts_.control.refresh(refreshTimeout);
     if (!refreshed) {
@@ -208,12 +209,12 @@
     change.author = author;
     change.baseVersion = *base;
     change.documentHash = stableHash(request.body, *base);
-    if (const auto known = view->state.findRequest(change.requestId)) {
-        if (known->hash != change.documentHash) {
-            co_return errorResponse(
-                makeError(ErrorKind::IdempotencyConflict, "the idempotency key belongs to another change"));
+    if (const auto recorded = view->state.findRequest(change.requestId)) {
+        if (recorded->hash != change.documentHash) {
+            co_return errorResponse(makeError(ErrorKind::IdempotencyConflict,
+                                              "the idempotency key was already used for a different change"));
         }
-        co_return co_await answerVersion(request, known->version);
+        co_return co_await answerVersion(request, recorded->version);
     }
     if (*base != view->state.configurationVersion()) {
         co_return conflict(view->state, *base, request.body);
@@ -230,13 +231,13 @@
     }
     if (kind == ApplyKind::IdempotencyConflict) {
         co_return errorResponse(
-            makeError(ErrorKind::IdempotencyConflict, "the idempotency key belongs to another change"));
+            makeError(ErrorKind::IdempotencyConflict, "the idempotency key was already used for a different change"));
     }
     parts_.log.info("configuration.accepted", {{"version", applied.value().version}, {"author", author}});
     co_return co_await answerVersion(request, applied.value().version);
 }
 
-// Answers at once, or with "wait_ms" when every live VM has the version in force, or the time is over.
+// With "wait_ms", responds once every VM that is not lost has applied the version or the time is up; otherwise at once.
 asio::awaitable<HttpResponse> OperatorApi::answerVersion(const HttpRequest &request, std::uint64_t version)
 {
     std::int64_t waitMs = 0;
@@ -266,7 +267,7 @@
         if (isEverywhere || std::chrono::steady_clock::now() > deadline) {
             break;
         }
-        co_await sleepFor(waitPause);
+        co_await sleepFor(pollInterval);
     }
     HttpResponse response = jsonResponse(statusOk, body);
     response.headers["Cardamompost-Outcome"] = nameOf(outcomeNames, Outcome::Ran);
@@ -277,11 +278,11 @@
 asio::awaitable<HttpResponse> OperatorApi::drain(VmName name)
 {
     const auto view = parts_.replica.view();
-    const VmRecord *known = view->state.findVm(name);
-    if (known == nullptr) {
-        co_return errorResponse(makeError(ErrorKind::NotFound, "there is no VM '" + name + "'"));
+    const VmRecord *recorded = view->state.findVm(name);
+    if (recorded == nullptr) {
+        co_return errorResponse(makeError(ErrorKind::NotFound, "unknown VM '" + name + "'"));
     }
-    VmRecord leaving = *known;
+    VmRecord leaving = *recorded;
     if (leaving.state == VmState::Live) {
         leaving.state = VmState::Leaving;
         ControlCommand command = leaving;
@@ -330,7 +331,7 @@
                        {"partitions", view->state.partitions().size()},
                        {"partitions_without_owner", unowned},
                        {"vms", std::move(vms)},
-                       {"queues", queueBodies(parts_.dispatcher.status())}};
+                       {"queues", queuesBody(parts_.dispatcher.status())}};
     co_return jsonResponse(statusOk, body);
 }
 
--- a/src/daemon/cp_operator_api.hpp
+++ b/src/daemon/cp_operator_api.hpp
@@ -10,7 +10,7 @@
 namespace cardamompost
 {
 
-//! What operators ask for: the configuration, the state of the system, and the end of a VM's work.
+//! The operator API: reads and changes the configuration, reports the system's status, and drains VMs.
 class OperatorApi
 {
 public:
@@ -28,7 +28,7 @@
     boost::asio::awaitable<HttpResponse> handle(const HttpRequest &request);
 
 private:
-    //! Name of the operator with the request's key. Errors: Unauthenticated, Forbidden.
+    //! Returns the name of the operator that the request's key belongs to. Errors: Unauthenticated, Forbidden.
     [[nodiscard]] Result<std::string> authenticate(const HttpRequest &request) const;
     boost::asio::awaitable<HttpResponse> getConfiguration();
     boost::asio::awaitable<HttpResponse> putConfiguration(const HttpRequest &request, std::string author);
@@ -41,10 +41,10 @@
     Parts parts_;
 };
 
-//! An error as a whole HTTP answer.
+//! Builds a complete HTTP response for an error.
 [[nodiscard]] HttpResponse errorResponse(const Error &error);
 
-//! The key of "Authorization: Bearer KEY"; empty when there is none.
+//! Returns the key of "Authorization: Bearer KEY"; empty when there is none.
 [[nodiscard]] std::string_view bearerKey(const HttpRequest &request);
 
 } // namespace cardamompost
--- a/src/daemon/cp_program_sweep.cpp
+++ b/src/daemon/cp_program_sweep.cpp
@@ -13,12 +13,12 @@
 {
 
 constexpr Milliseconds sweepInterval {1000};
-// Answers and histories of ended programs can be fetched for this long.
-constexpr std::int64_t keepEndedMs = 600'000;
-// A program without calls for this long is taken for one whose process has died between its turns.
-constexpr std::int64_t idleEndMs = 3'600'000;
-// Pieces of an answer that has ended are kept this long, for callers that resume its stream.
-constexpr std::int64_t keepPiecesMs = 60'000;
+// Answers and histories of ended programs stay available for this long.
+constexpr std::int64_t endedRetentionMs = 600'000;
+// A program without calls for this long is considered abandoned and ended.
+constexpr std::int64_t idleTimeoutMs = 3'600'000;
+// Chunks of a completed answer are kept this long for callers that resume its stream.
+constexpr std::int64_t chunkRetentionMs = 60'000;
 
 } // namespace
 
@@ -37,7 +37,7 @@
     const std::int64_t now = wallClockMs();
     Epoch epoch = 0;
     std::vector<VmName> keepers;
-    std::vector<LogIndex> forgotten;
+    std::vector<LogIndex> removedIndexes;
     std::vector<ProgramId> ended;
     const auto view = parts_.replica.view();
     {
@@ -49,24 +49,25 @@
         }
         epoch = slot.writer->epoch();
         keepers = view->state.partitions()[partition].keepers;
-        for (auto item = slot.programs.begin(); item != slot.programs.end();) {
-            OwnedProgram &owned = item->second;
+        for (auto entry = slot.programs.begin(); entry != slot.programs.end();) {
+            OwnedProgram &owned = entry->second;
             const std::int64_t idleMs = now - owned.program.lastUseMs();
-            if (!owned.program.hasEnded() && !owned.program.firstOpenCall() && idleMs > idleEndMs) {
-                parts_.table.append(slot, {item->first, now, ProgramEnded {"idle"}});
-                ended.push_back(item->first);
+            if (!owned.program.hasEnded() && !owned.program.firstOpenCall() && idleMs > idleTimeoutMs) {
+                parts_.table.append(slot, {entry->first, now, ProgramEnded {"idle"}});
+                ended.push_back(entry->first);
             }
-            if (idleMs > keepPiecesMs) {
+            if (idleMs > chunkRetentionMs) {
                 std::erase_if(owned.live,
                               [&](const auto &live) { return owned.program.findCall(live.first)->isFinal(); });
             }
-            const bool isOver
-                = owned.program.hasEnded() && owned.program.heldBackends().empty() && idleMs > keepEndedMs;
-            if (isOver && slot.writer->commitIndex() >= owned.program.indexes().back()) {
-                forgotten.insert(forgotten.end(), owned.program.indexes().begin(), owned.program.indexes().end());
-                item = slot.programs.erase(item);
+            const bool isExpired
+                = owned.program.hasEnded() && owned.program.heldBackends().empty() && idleMs > endedRetentionMs;
+            if (isExpired && slot.writer->commitIndex() >= owned.program.indexes().back()) {
+                removedIndexes.insert(removedIndexes.end(), owned.program.indexes().begin(),
+                                      owned.program.indexes().end());
+                entry = slot.programs.erase(entry);
             } else {
-                ++item;
+                ++entry;
             }
         }
     }
@@ -74,8 +75,8 @@
     for (const ProgramId &program : ended) {
         parts_.runner.startRelease(partition, epoch, program);
     }
-    if (!forgotten.empty()) {
-        parts_.table.forget(partition, epoch, keepers, std::move(forgotten));
+    if (!removedIndexes.empty()) {
+        parts_.table.forget(partition, epoch, keepers, std::move(removedIndexes));
     }
 }
 
--- a/src/daemon/cp_router.cpp
+++ b/src/daemon/cp_router.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-constexpr Milliseconds retryPause {40};
-// How long an entry looks for an owner: several times a takeover.
+constexpr Milliseconds retryDelay {40};
+// Several times the duration of a partition takeover.
 constexpr Milliseconds ownerTimeout {15'000};
-constexpr Milliseconds aliveInterval {5000};
+constexpr Milliseconds keepAliveInterval {5000};
 constexpr Milliseconds answerTimeout {24 * 3600 * 1000};
 
 using Answers = AsyncQueue<Result<ApiChunk>>;
@@ -29,11 +29,11 @@
     if (auto *chunk = std::get_if<ApiChunk>(&reply.value())) {
         return std::move(*chunk);
     }
-    return makeError(ErrorKind::Internal, "an owner answered with something else than an answer");
+    return makeError(ErrorKind::Internal, "unexpected reply to a forwarded request");
 }
 
-// What a lost connection or a move leaves open is asked again; the owner knows the request if it had arrived.
-bool isWorthAsking(ErrorKind kind)
+// Retries are safe: the owner recognizes a request that it has already received.
+bool isRetryable(ErrorKind kind)
 {
     return kind == ErrorKind::NotOwner || kind == ErrorKind::PeerLost || kind == ErrorKind::DeadlineExceeded
         || kind == ErrorKind::NotReady;
@@ -43,36 +43,36 @@
 
 Router::Router(Parts parts)
     : parts_(parts)
-    , hops_(parts.metrics.counter("cardamompost_forwarded_requests_total"))
+    , forwarded_(parts.metrics.counter("cardamompost_forwarded_requests_total"))
     , retries_(parts.metrics.counter("cardamompost_forward_retries_total"))
 {
 }
 
 asio::awaitable<void> Router::forward(ApiRequest request, Deliver deliver)
 {
-    TimePoint giveUpAt = std::chrono::steady_clock::now() + ownerTimeout;
+    TimePoint deadline = std::chrono::steady_clock::now() + ownerTimeout;
     bool mayHaveReached = false;
-    while (std::chrono::steady_clock::now() < giveUpAt) {
-        const TimePoint triedAt = std::chrono::steady_clock::now();
-        const Hop hop = co_await tryOwner(request, deliver, mayHaveReached);
-        if (hop == Hop::Done) {
+    while (std::chrono::steady_clock::now() < deadline) {
+        const TimePoint startedAt = std::chrono::steady_clock::now();
+        const TryResult result = co_await tryForward(request, deliver, mayHaveReached);
+        if (result == TryResult::Done) {
             co_return;
         }
         retries_.add();
-        // An owner that worked on it for a while is not the same outage as one that can't be found.
-        if (std::chrono::steady_clock::now() - triedAt > aliveInterval) {
-            giveUpAt = std::chrono::steady_clock::now() + ownerTimeout;
+        // An owner that ran the request for a while resets the time limit for finding one.
+        if (std::chrono::steady_clock::now() - startedAt > keepAliveInterval) {
+            deadline = std::chrono::steady_clock::now() + ownerTimeout;
         }
-        co_await sleepFor(retryPause);
+        co_await sleepFor(retryDelay);
     }
-    Error error = makeError(ErrorKind::NotReady, "no VM owns the program now");
+    Error error = makeError(ErrorKind::NotReady, "the program currently has no reachable owner");
     error.outcome = mayHaveReached ? Outcome::Unknown : Outcome::NotRun;
     error.retryAfter = Milliseconds(1000);
     ApiChunk chunk = errorChunk(error);
     co_await deliver(std::move(chunk));
 }
 
-asio::awaitable<Router::Hop> Router::tryOwner(ApiRequest &request, const Deliver &deliver, bool &mayHaveReached)
+asio::awaitable<Router::TryResult> Router::tryForward(ApiRequest &request, const Deliver &deliver, bool &mayHaveReached)
 {
     const auto view = parts_.replica.view();
     const VmName owner = view->state.partitions()[parts_.table.partitionOf(request.program)].owner;
@@ -82,31 +82,31 @@
     if (owner == parts_.settings.vm) {
         parts_.service.handle(request, [answers](Result<ApiChunk> chunk) { answers->push(std::move(chunk)); });
     } else if (!owner.empty() && (client = parts_.hub.client(owner))) {
-        hops_.add();
+        forwarded_.add();
         id = client->request(request, answerTimeout,
                              [answers](Result<FrameBody> reply, bool) { answers->push(toChunk(std::move(reply))); });
     } else {
-        co_return Hop::Again;
+        co_return TryResult::Retry;
     }
     while (true) {
-        std::optional<Result<ApiChunk>> next = co_await answers->pop(aliveInterval);
+        std::optional<Result<ApiChunk>> next = co_await answers->pop(keepAliveInterval);
         Result<ApiChunk> chunk = next ? std::move(*next) : Result<ApiChunk>(ApiChunk {});
-        if (!chunk && isWorthAsking(chunk.error().kind)) {
+        if (!chunk && isRetryable(chunk.error().kind)) {
             mayHaveReached = mayHaveReached
                 || (chunk.error().kind != ErrorKind::NotOwner && chunk.error().outcome != Outcome::NotRun);
-            co_return Hop::Again;
+            co_return TryResult::Retry;
         }
         if (!chunk) {
             chunk = errorChunk(chunk.error());
         }
         request.lastEventId = std::max(request.lastEventId, chunk.value().eventId);
         const bool isLast = chunk.value().isLast;
-        const bool isThere = co_await deliver(std::move(chunk.value()));
-        if (isLast || !isThere) {
+        const bool isConnected = co_await deliver(std::move(chunk.value()));
+        if (isLast || !isConnected) {
             if (client && !isLast) {
                 client->cancel(id);
             }
-            co_return Hop::Done;
+            co_return TryResult::Done;
         }
     }
 }
--- a/src/daemon/cp_router.hpp
+++ b/src/daemon/cp_router.hpp
@@ -6,8 +6,8 @@
 namespace cardamompost
 {
 
-//! Brings callers' requests to the owners of their programs, one hop at most, and their answers back; goes on at the
-//! next owner when one is lost. Thread-safe.
+//! Forwards callers' requests to the owners of their programs, in at most one hop, and relays the answers. Retries
+//! with the new owner when ownership changes or an owner fails. Thread-safe.
 class Router
 {
 public:
@@ -20,25 +20,26 @@
         EventLog &log;
         MetricRegistry &metrics;
     };
-    //! Takes a piece of the answer; one without a body only shows that the call goes on. False: the caller is gone.
+    //! Receives a chunk of the answer; one without a body is a keep-alive. Returns false if the caller has
+    //! disconnected.
     using Deliver = std::function<boost::asio::awaitable<bool>(ApiChunk chunk)>;
 
     explicit Router(Parts parts);
 
-    //! Runs on the caller's strand until the last piece was delivered, or the caller is gone.
+    //! Runs on the caller's strand until the last chunk was delivered or the caller has disconnected.
     boost::asio::awaitable<void> forward(ApiRequest request, Deliver deliver);
 
 private:
-    enum class Hop {
+    enum class TryResult {
         Done,
         //! The owner has to be looked up again.
-        Again,
+        Retry,
     };
 
-    boost::asio::awaitable<Hop> tryOwner(ApiRequest &request, const Deliver &deliver, bool &mayHaveReached);
+    boost::asio::awaitable<TryResult> tryForward(ApiRequest &request, const Deliver &deliver, bool &mayHaveReached);
 
     Parts parts_;
-    Counter &hops_;
+    Counter &forwarded_;
     Counter &retries_;
 };
 
