--- a/src/daemon/cp_call_runner.cpp
+++ b/src/daemon/cp_call_runner.cpp
@@ -18,10 +18,10 @@
 
 constexpr double retriesPerAttempt = 0.1;
 constexpr double retryBurst = 10.0;
-constexpr Milliseconds releasePause {500};
-constexpr Milliseconds maxReleasePause {10'000};
-constexpr Milliseconds handoverPause {100};
-constexpr Milliseconds leasePause {20};
+constexpr Milliseconds minReleaseBackoff {500};
+constexpr Milliseconds maxReleaseBackoff {10'000};
+constexpr Milliseconds handoverPollInterval {100};
+constexpr Milliseconds leasePollInterval {20};
 
 } // namespace
 
@@ -90,7 +90,7 @@
             task->deadlineMs = std::min(task->deadlineMs, task->created.deadlineMs);
         }
         task->attempts = call.attempts;
-        task->hasLeftOver = !call.attempts.empty();
+        task->hasInheritedAttempt = !call.attempts.empty();
         task->history = historyMessages(owned.program, *sequence);
         task->historyTokens = owned.program.historyTokens();
         const OwnedProgram *root = slot.find(task->created.parent);
@@ -112,32 +112,32 @@
 asio::awaitable<void> CallRunner::run(Task task)
 {
     ++running_;
-    Ending ending;
+    RunResult runResult;
     if (task.accepted.kind == CallKind::Model) {
-        ending = co_await runModel(task);
+        runResult = co_await runModel(task);
     } else {
-        ending = co_await runService(task);
+        runResult = co_await runService(task);
     }
     bool isWritten = false;
-    if (ending) {
-        isWritten = co_await writeResult(task, *ending);
+    if (runResult) {
+        isWritten = co_await writeResult(task, *runResult);
     }
     --running_;
     if (isWritten) {
-        countEnding(task, *ending);
+        reportResult(task, *runResult);
         startNext(task.partition, task.epoch, task.program);
     } else {
-        co_await runAgainIfOwned(task.partition, task.epoch, task.program);
+        co_await restartIfOwned(task.partition, task.epoch, task.program);
     }
 }
 
-asio::awaitable<void> CallRunner::runAgainIfOwned(PartitionId partition, Epoch epoch, ProgramId program)
+asio::awaitable<void> CallRunner::restartIfOwned(PartitionId partition, Epoch epoch, ProgramId program)
 {
-    // Guards against a call that nobody runs: its run stopped for a handover that then did not come.
+    // Restarts a call whose run stopped for a handover that was then aborted.
     bool isOwned = true;
     bool isFree = false;
     while (isOwned && !isFree) {
-        co_await sleepFor(handoverPause);
+        co_await sleepFor(handoverPollInterval);
         isOwned = parts_.table.withProgram(partition, epoch, program, [&](PartitionSlot &slot, OwnedProgram &owned) {
             isFree = !slot.isHandingOver;
             owned.running = isFree ? 0 : owned.running;
@@ -150,16 +150,15 @@
 
 asio::awaitable<bool> CallRunner::waitForLease(const Task &task)
 {
-    // Guards against an owner that was paused between its intent and the sending: without the lease another owner
-    // may have taken over, found the intent, and told the caller how it ended. A lease that comes back in the same
-    // epoch shows that nobody has.
+    // Prevents a paused owner from sending after another owner took over and reported a result for the intent. If the
+    // lease is regained in the same epoch, there was no takeover.
     while (!parts_.control.hasLease()) {
         const bool isOwned = parts_.table.withProgram(task.partition, task.epoch, task.program,
                                                       [](PartitionSlot &, OwnedProgram &) {});
         if (!isOwned) {
             co_return false;
         }
-        co_await sleepFor(leasePause);
+        co_await sleepFor(leasePollInterval);
     }
     co_return parts_.table.withProgram(task.partition, task.epoch, task.program,
                                        [](PartitionSlot &, OwnedProgram &) {});
@@ -198,7 +197,7 @@
             const std::int64_t now = wallClockMs();
             index = parts_.table.append(slot, {task.program, now, result});
             finished.emplace_back(task.live, result);
-            // What the program made after a call that was not run must not run without it.
+            // Later calls of the program depend on this one, so they are dropped too.
             while (result.outcome == Outcome::NotRun) {
                 const auto next = owned.program.firstOpenCall();
                 if (!next) {
@@ -254,13 +253,13 @@
     return retryBudgets_.try_emplace(deployment, retriesPerAttempt, retryBurst).first->second.tryRetry();
 }
 
-void CallRunner::noteFirstAttempt(const std::string &deployment)
+void CallRunner::recordFirstAttempt(const std::string &deployment)
 {
     const std::lock_guard lock(retryMutex_);
     retryBudgets_.try_emplace(deployment, retriesPerAttempt, retryBurst).first->second.onFirstAttempt();
 }
 
-void CallRunner::countEnding(const Task &task, const CallResult &result)
+void CallRunner::reportResult(const Task &task, const CallResult &result)
 {
     const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - task.startedAt).count();
     const MetricLabels labels {{"caller", task.created.caller}, {"class", task.created.workClass}};
@@ -298,7 +297,7 @@
 
 asio::awaitable<void> CallRunner::release(PartitionId partition, Epoch epoch, ProgramId program)
 {
-    Milliseconds pause = releasePause;
+    Milliseconds pause = minReleaseBackoff;
     while (true) {
         std::set<std::string> held;
         const bool isOwned
@@ -310,7 +309,7 @@
         }
         for (const std::string &name : held) {
             const std::optional<Replica> replica = parts_.dispatcher.findReplica(name);
-            // A replica that the configuration has dropped is gone with all that it held.
+            // A replica that is not in the configuration needs no release.
             bool isReleased = !replica;
             if (replica) {
                 isReleased = co_await parts_.engines.release(*replica, program);
@@ -322,7 +321,7 @@
             }
         }
         co_await sleepFor(pause);
-        pause = std::min(pause * 2, maxReleasePause);
+        pause = std::min(pause * 2, maxReleaseBackoff);
     }
 }
 
--- a/src/daemon/cp_call_runner.hpp
+++ b/src/daemon/cp_call_runner.hpp
@@ -11,11 +11,11 @@
 namespace cardamompost
 {
 
-//! Wall-clock time in ms since 1970, as journals hold it.
+//! Wall-clock time in ms since the Unix epoch, as stored in journals.
 [[nodiscard]] std::int64_t wallClockMs();
 
-//! Executes the calls of the programs that this VM owns: one after the other in a program, each through intent,
-//! backend server and result. Thread-safe.
+//! Executes the calls of the programs that this VM owns, sequentially within a program. The intent is committed before
+//! a request is sent to a backend server, and the result before it is returned. Thread-safe.
 class CallRunner
 {
 public:
@@ -33,20 +33,20 @@
 
     CallRunner(boost::asio::any_io_executor executor, Parts parts);
 
-    //! Runs a program's first open call, unless it runs already.
+    //! Starts a program's first open call, unless it is running already.
     void startNext(PartitionId partition, Epoch epoch, const ProgramId &program);
-    //! Takes up what an earlier owner left in a partition.
+    //! Resumes open calls and pending releases of a partition's previous owner.
     void resumePartition(PartitionId partition, Epoch epoch);
-    //! Tells the replicas that a program has ended, until each has confirmed it.
+    //! Releases an ended program on its replicas, with retries until each has confirmed.
     void startRelease(PartitionId partition, Epoch epoch, const ProgramId &program);
-    //! Calls under way on this VM.
+    //! Number of calls in progress on this VM.
     [[nodiscard]] int running() const
     {
         return running_;
     }
 
 private:
-    //! What a run needs to know of its call; read once, since only the runner changes it.
+    //! State of one run. Copied from the program once, since only the runner modifies an open call.
     struct Task {
         PartitionId partition = 0;
         Epoch epoch = 0;
@@ -58,39 +58,39 @@
         std::int64_t deadlineMs = 0;
         int rank = 0;
         std::vector<CallIntent> attempts;
-        //! The last attempt is an earlier owner's, and has not been looked after here.
-        bool hasLeftOver = false;
+        //! The last attempt was started by the previous owner and has not been resumed yet.
+        bool hasInheritedAttempt = false;
         boost::json::array history;
         std::int64_t historyTokens = 0;
         std::int64_t attainedTokens = 0;
         std::string warmReplica;
         std::chrono::steady_clock::time_point startedAt;
     };
-    //! What a run ends with; nothing when the partition was lost, and the next owner goes on.
-    using Ending = std::optional<CallResult>;
+    //! Empty if the partition was lost or is being handed over; its owner then resumes the call.
+    using RunResult = std::optional<CallResult>;
 
     boost::asio::awaitable<void> run(Task task);
-    boost::asio::awaitable<Ending> runModel(Task &task);
-    boost::asio::awaitable<Ending> runModelAttempt(Task &task, bool &goesOn);
+    boost::asio::awaitable<RunResult> runModel(Task &task);
+    boost::asio::awaitable<RunResult> runModelAttempt(Task &task, bool &shouldRetry);
     boost::asio::awaitable<EngineResult> streamAttempt(Task &task, Replica replica, CallIntent intent, bool isNew);
-    boost::asio::awaitable<Ending> runService(Task &task);
-    boost::asio::awaitable<Ending> callService(Task &task, const CallRequest &request, const Service &service);
+    boost::asio::awaitable<RunResult> runService(Task &task);
+    boost::asio::awaitable<RunResult> callService(Task &task, const CallRequest &request, const Service &service);
     boost::asio::awaitable<bool> writeIntent(Task &task, CallIntent intent);
     boost::asio::awaitable<bool> waitForLease(const Task &task);
-    boost::asio::awaitable<void> runAgainIfOwned(PartitionId partition, Epoch epoch, ProgramId program);
+    boost::asio::awaitable<void> restartIfOwned(PartitionId partition, Epoch epoch, ProgramId program);
     boost::asio::awaitable<bool> writeResult(Task &task, CallResult result);
     boost::asio::awaitable<void> release(PartitionId partition, Epoch epoch, ProgramId program);
     boost::asio::awaitable<void> cancelUntilConfirmed(Replica replica, std::string attempt, std::int64_t deadlineMs);
 
     [[nodiscard]] std::optional<Task> takeTask(PartitionId partition, Epoch epoch, const ProgramId &program);
-    [[nodiscard]] Ending modelEnding(Task &task, const EngineResult &result, const CallIntent &intent);
+    [[nodiscard]] RunResult resultOfAttempt(Task &task, const EngineResult &result, const CallIntent &intent);
     [[nodiscard]] boost::json::object engineRequest(const Task &task, const CallIntent &intent,
                                                     const std::string &model) const;
     [[nodiscard]] WaitingCall waitingCall(const Task &task) const;
     [[nodiscard]] CallResult failure(const Task &task, ErrorKind kind, std::string message, Outcome outcome) const;
     [[nodiscard]] bool tryRetry(const std::string &deployment);
-    void noteFirstAttempt(const std::string &deployment);
-    void countEnding(const Task &task, const CallResult &result);
+    void recordFirstAttempt(const std::string &deployment);
+    void reportResult(const Task &task, const CallResult &result);
 
     boost::asio::any_io_executor executor_;
     Parts parts_;
--- a/src/daemon/cp_call_runner_model.cpp
+++ b/src/daemon/cp_call_runner_model.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::uint32_t maxAttempts = 4;
 constexpr int maxResumes = 3;
-constexpr Milliseconds resumePause {50};
-constexpr Milliseconds cancelPause {500};
+constexpr Milliseconds resumeDelay {50};
+constexpr Milliseconds cancelRetryDelay {500};
 
 std::string attemptId(const ProgramId &program, const CallIntent &intent)
 {
@@ -76,41 +76,41 @@
     return body;
 }
 
-asio::awaitable<CallRunner::Ending> CallRunner::runModel(Task &task)
+asio::awaitable<CallRunner::RunResult> CallRunner::runModel(Task &task)
 {
-    noteFirstAttempt(task.created.deployment);
-    bool goesOn = true;
-    Ending ending;
-    while (goesOn) {
-        goesOn = false;
-        ending = co_await runModelAttempt(task, goesOn);
+    recordFirstAttempt(task.created.deployment);
+    bool shouldRetry = true;
+    RunResult runResult;
+    while (shouldRetry) {
+        shouldRetry = false;
+        runResult = co_await runModelAttempt(task, shouldRetry);
     }
-    co_return ending;
+    co_return runResult;
 }
 
-// One attempt: the one that an earlier owner left, or a new one. Sets goesOn when another is worth it.
-asio::awaitable<CallRunner::Ending> CallRunner::runModelAttempt(Task &task, bool &goesOn)
+// Resumes the previous owner's attempt or starts a new one. Sets shouldRetry if another attempt should follow.
+asio::awaitable<CallRunner::RunResult> CallRunner::runModelAttempt(Task &task, bool &shouldRetry)
 {
-    const bool isLeftOver = std::exchange(task.hasLeftOver, false);
+    const bool isInherited = std::exchange(task.hasInheritedAttempt, false);
     CallIntent intent;
-    std::optional<Placed> placed;
+    std::optional<AcquiredReplica> acquiredReplica;
     Replica replica;
-    if (isLeftOver) {
+    if (isInherited) {
         intent = task.attempts.back();
         const std::optional<Replica> known = parts_.dispatcher.findReplica(intent.backend);
         replica = known.value_or(Replica {});
     }
-    const bool isNew = !isLeftOver || replica.name.empty();
+    const bool isNew = !isInherited || replica.name.empty();
     if (isNew) {
         const WaitingCall waiting = waitingCall(task);
-        Result<Placed> acquired = co_await parts_.dispatcher.acquire(task.created.deployment, waiting);
+        Result<AcquiredReplica> acquired = co_await parts_.dispatcher.acquire(task.created.deployment, waiting);
         if (!acquired) {
-            // Attempts that were sent before may have been executed, whatever becomes of the next one.
+            // Earlier attempts may have been executed.
             const Outcome outcome = task.attempts.empty() ? Outcome::NotRun : Outcome::Unknown;
             co_return failure(task, acquired.error().kind, acquired.error().message, outcome);
         }
-        placed = std::move(acquired.value());
-        replica = placed->replica;
+        acquiredReplica = std::move(acquired.value());
+        replica = acquiredReplica->replica;
         const auto number = static_cast<std::uint32_t>(task.attempts.size() + 1);
         const std::uint64_t kept = task.live->position();
         const std::uint32_t root = kept == 0 ? number : task.attempts.back().rootAttempt;
@@ -123,7 +123,7 @@
                   kept == 0 ? std::string() : task.live->text()};
         const bool isWritten = co_await writeIntent(task, intent);
         if (!isWritten) {
-            parts_.dispatcher.release(*placed, false);
+            parts_.dispatcher.release(*acquiredReplica, false);
             co_return std::nullopt;
         }
     }
@@ -133,22 +133,22 @@
     }
     const EngineResult result = co_await streamAttempt(task, replica, intent, isNew);
     const bool isAtFault = result.end == EngineEnd::NotSent || result.end == EngineEnd::Broken;
-    if (placed) {
-        parts_.dispatcher.release(*placed, isAtFault);
+    if (acquiredReplica) {
+        parts_.dispatcher.release(*acquiredReplica, isAtFault);
     }
-    Ending ending = modelEnding(task, result, intent);
-    // An attempt that the engine does not know may still arrive there late; the cancellation makes it refused then.
-    const bool mayBeThere
+    RunResult runResult = resultOfAttempt(task, result, intent);
+    // A request unknown to the engine may still arrive late; the cancellation makes the engine refuse it.
+    const bool mayBeOnEngine
         = result.end == EngineEnd::Broken || result.end == EngineEnd::Stopped || result.end == EngineEnd::NotKnown;
-    if (mayBeThere) {
+    if (mayBeOnEngine) {
         asio::co_spawn(asio::make_strand(executor_),
                        cancelUntilConfirmed(replica, attemptId(task.program, intent), task.deadlineMs), asio::detached);
     }
     const bool mayRetry
         = result.end != EngineEnd::Finished && result.end != EngineEnd::Stopped && task.attempts.size() < maxAttempts;
-    goesOn = mayRetry && timeUntil(task.deadlineMs).count() > 0 && !task.live->isCancelled()
+    shouldRetry = mayRetry && timeUntil(task.deadlineMs).count() > 0 && !task.live->isCancelled()
         && (result.end == EngineEnd::NotKnown || tryRetry(task.created.deployment));
-    if (goesOn) {
+    if (shouldRetry) {
         parts_.log.warn("call.retry",
                         {{"program", task.program},
                          {"call", task.sequence},
@@ -157,7 +157,7 @@
                          {"backend", intent.backend},
                          {"message", result.message}});
     }
-    co_return ending;
+    co_return runResult;
 }
 
 asio::awaitable<EngineResult> CallRunner::streamAttempt(Task &task, Replica replica, CallIntent intent, bool isNew)
@@ -186,11 +186,11 @@
         EngineClient::Watch watch = makeWatch();
         result = co_await parts_.engines.resume(replica, attempt, 0, timeUntil(deadlineMs), std::move(watch));
     }
-    // Guards against a connection that went silent for good while new ones work, and a stream that was cut: the
-    // engine goes on generating, and hands out the rest behind the last position over a new connection.
+    // The engine continues to generate when a connection stalls or breaks; the rest of the answer is fetched over a new
+    // connection.
     for (int resumes = 0; result.end == EngineEnd::Broken && resumes < maxResumes && timeUntil(deadlineMs).count() > 0;
          ++resumes) {
-        co_await sleepFor(resumePause);
+        co_await sleepFor(resumeDelay);
         const std::uint64_t position = live->position();
         const std::uint64_t after = position > base ? position - base : 0;
         EngineClient::Watch watch = makeWatch();
@@ -206,7 +206,7 @@
     co_return result;
 }
 
-CallRunner::Ending CallRunner::modelEnding(Task &task, const EngineResult &result, const CallIntent &intent)
+CallRunner::RunResult CallRunner::resultOfAttempt(Task &task, const EngineResult &result, const CallIntent &intent)
 {
     if (result.end == EngineEnd::Finished) {
         CallResult ran;
@@ -236,11 +236,11 @@
 
 asio::awaitable<void> CallRunner::cancelUntilConfirmed(Replica replica, std::string attempt, std::int64_t deadlineMs)
 {
-    // An attempt that was given up must not hold a slot and memory of its replica until its deadline.
+    // Frees the replica's slot and memory before the deadline.
     bool isConfirmed = false;
     while (!isConfirmed && wallClockMs() < deadlineMs) {
         isConfirmed = co_await parts_.engines.cancel(replica, attempt);
-        co_await sleepFor(cancelPause);
+        co_await sleepFor(cancelRetryDelay);
     }
 }
 
--- a/src/daemon/cp_call_runner_service.cpp
+++ b/src/daemon/cp_call_runner_service.cpp
@@ -14,31 +14,30 @@
 
 constexpr unsigned firstServerError = 500;
 constexpr unsigned statusUnavailable = 503;
-constexpr Milliseconds retryPause {100};
+constexpr Milliseconds retryDelay {100};
 
 } // namespace
 
-asio::awaitable<CallRunner::Ending> CallRunner::runService(Task &task)
+asio::awaitable<CallRunner::RunResult> CallRunner::runService(Task &task)
 {
     const CallRequest request = decodeCallRequest(CallKind::Service, task.accepted.request);
     if (!task.attempts.empty() && !task.accepted.isIdempotent) {
-        // Guards against a doubled action: an earlier owner wrote the intent and may have sent it, before or after
-        // it lost the partition. Nobody can tell, so it is never sent again, and the caller is told so.
-        co_return failure(task, ErrorKind::BackendFailed, "the owner was lost while the request was under way",
+        // Prevents duplicate execution: the previous owner may have sent the request, so it is not repeated.
+        co_return failure(task, ErrorKind::BackendFailed, "the owner was lost while the request was in progress",
                           Outcome::Unknown);
     }
     const auto view = parts_.replica.view();
     const Service *service = view->configuration.findService(request.service);
     if (service == nullptr) {
-        co_return failure(task, ErrorKind::NotFound, "service '" + request.service + "' is not declared any more",
+        co_return failure(task, ErrorKind::NotFound, "service '" + request.service + "' is no longer declared",
                           Outcome::NotRun);
     }
-    noteFirstAttempt("service " + request.service);
+    recordFirstAttempt("service " + request.service);
     co_return co_await callService(task, request, *service);
 }
 
-asio::awaitable<CallRunner::Ending> CallRunner::callService(Task &task, const CallRequest &request,
-                                                            const Service &service)
+asio::awaitable<CallRunner::RunResult> CallRunner::callService(Task &task, const CallRequest &request,
+                                                               const Service &service)
 {
     const std::vector<Address> addresses = service.addresses;
     const Milliseconds timeout = service.timeout;
@@ -81,12 +80,13 @@
                            : answer.error().message;
         const bool isNotSent = !answer && answer.error().outcome == Outcome::NotRun;
         mayHaveRun = mayHaveRun || !isNotSent;
-        // A request that may not be repeated goes to the next address only when it provably never left.
-        const bool mayGoOn = isNotSent || (task.accepted.isIdempotent && tryRetry("service " + request.service));
-        if (!mayGoOn) {
+        // A request that is not idempotent is sent to the next address only if it was certainly not sent.
+        const bool canTryNextAddress
+            = isNotSent || (task.accepted.isIdempotent && tryRetry("service " + request.service));
+        if (!canTryNextAddress) {
             break;
         }
-        co_await sleepFor(retryPause);
+        co_await sleepFor(retryDelay);
     }
     co_return failure(task, ErrorKind::BackendFailed, lastError, mayHaveRun ? Outcome::Unknown : Outcome::NotRun);
 }
--- a/src/daemon/cp_call_service.cpp
+++ b/src/daemon/cp_call_service.cpp
@@ -18,15 +18,15 @@
 
 constexpr unsigned statusOk = 200;
 constexpr unsigned statusCreated = 201;
-constexpr Milliseconds endWait {5000};
-constexpr Milliseconds endPause {20};
+constexpr Milliseconds endTimeout {5000};
+constexpr Milliseconds endPollInterval {20};
 
 Error notOwner()
 {
     return makeError(ErrorKind::NotOwner, "the partition moved to another VM");
 }
 
-// NotOwner goes back to the entry, which asks the owner; everything else is the caller's answer.
+// NotOwner makes the entry forward the request to the owner; other errors are returned to the caller.
 Result<ApiChunk> answerError(const Error &error)
 {
     if (error.kind == ErrorKind::NotOwner) {
@@ -109,10 +109,10 @@
     }
 }
 
-Result<OwnedProgram *> CallService::findOwn(PartitionSlot &slot, const ApiRequest &request) const
+Result<OwnedProgram *> CallService::findOwnedProgram(PartitionSlot &slot, const ApiRequest &request) const
 {
     OwnedProgram *owned = slot.find(request.program);
-    // Another caller's program looks the same as none, so that ids can't be probed.
+    // Another caller's program is reported as missing, so that ids can't be probed.
     if (owned == nullptr || owned->program.created().caller != request.caller) {
         return makeError(ErrorKind::NotFound, "there is no program '" + request.program + "'");
     }
@@ -136,54 +136,54 @@
 asio::awaitable<void> CallService::readProgram(ApiRequest request, Sink sink)
 {
     const PartitionId partition = parts_.table.partitionOf(request.program);
-    Result<Written> read = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<Written> {
-        BOOST_OUTCOME_TRY(const OwnedProgram *owned, findOwn(slot, request));
-        Written written {slot.writer->epoch(), slot.writer->lastIndex(), programBody(owned->program)};
+    Result<PendingAnswer> read = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<PendingAnswer> {
+        BOOST_OUTCOME_TRY(const OwnedProgram *owned, findOwnedProgram(slot, request));
+        PendingAnswer pending {slot.writer->epoch(), slot.writer->lastIndex(), programBody(owned->program)};
         if (request.operation == ApiOperation::GetHistory) {
-            written.body["messages"] = historyMessages(owned->program, owned->program.nextSequence());
-            written.body["history"] = historyCalls(owned->program);
+            pending.body["messages"] = historyMessages(owned->program, owned->program.nextSequence());
+            pending.body["history"] = historyCalls(owned->program);
         } else if (request.operation == ApiOperation::Explain) {
-            addExplanation(owned->program, written.body);
+            addExplanation(owned->program, pending.body);
         }
-        return written;
+        return pending;
     });
     if (!read) {
         sink(answerError(read.error()));
         co_return;
     }
-    // Guards against a history that is shown and then lost: what is read here may not be on a quorum yet.
+    // Prevents dirty reads: the records read here may not be on a quorum yet.
     const bool isCommitted = co_await parts_.table.waitCommitted(partition, read.value().epoch, read.value().index);
     sink(isCommitted ? Result<ApiChunk>(jsonChunk(statusOk, read.value().body)) : Result<ApiChunk>(notOwner()));
 }
 
 Result<ProgramCreated> CallService::checkCreation(PartitionSlot &slot, const ApiRequest &request,
-                                                  const ProgramRequest &asked) const
+                                                  const ProgramRequest &programRequest) const
 {
     const auto view = parts_.replica.view();
     const Caller *caller = view->configuration.findCaller(request.caller);
     if (caller == nullptr) {
-        return makeError(ErrorKind::Forbidden, "the caller is not declared any more");
+        return makeError(ErrorKind::Forbidden, "the caller is no longer declared");
     }
     ProgramCreated created;
     created.caller = request.caller;
-    created.deployment = asked.deployment;
-    created.workClass = asked.workClass;
+    created.deployment = programRequest.deployment;
+    created.workClass = programRequest.workClass;
     created.idempotencyKey = request.idempotencyKey;
     created.bodyHash = stableHash(request.body);
-    created.budgetTokens = asked.budgetTokens == 0 ? caller->programBudgetTokens : asked.budgetTokens;
-    created.deadlineMs = asked.deadlineMs == 0 ? 0 : wallClockMs() + asked.deadlineMs;
-    created.parent = asked.parent;
+    created.budgetTokens = programRequest.budgetTokens == 0 ? caller->programBudgetTokens : programRequest.budgetTokens;
+    created.deadlineMs = programRequest.deadlineMs == 0 ? 0 : wallClockMs() + programRequest.deadlineMs;
+    created.parent = programRequest.parent;
     if (created.budgetTokens > caller->programBudgetTokens) {
-        return makeError(ErrorKind::BudgetExhausted, "'budget_tokens' is above what the caller may give a program");
+        return makeError(ErrorKind::BudgetExhausted, "'budget_tokens' exceeds the caller's limit per program");
     }
-    if (!asked.parent.empty()) {
+    if (!programRequest.parent.empty()) {
         ApiRequest parentRequest = request;
-        parentRequest.program = asked.parent;
-        BOOST_OUTCOME_TRY(const OwnedProgram *parent, findOwn(slot, parentRequest));
+        parentRequest.program = programRequest.parent;
+        BOOST_OUTCOME_TRY(const OwnedProgram *parent, findOwnedProgram(slot, parentRequest));
         if (parent->program.hasEnded() || parent->isEnding) {
             return makeError(ErrorKind::ProgramEnded, "the parent program has ended");
         }
-        if (asked.budgetTokens == 0) {
+        if (programRequest.budgetTokens == 0) {
             created.budgetTokens = std::min(created.budgetTokens, parent->program.budget().remaining());
         }
         if (created.budgetTokens <= 0 || parent->program.budget().remaining() < created.budgetTokens) {
@@ -193,79 +193,79 @@
     return created;
 }
 
-Result<CallService::Written> CallService::createLocked(PartitionSlot &slot, const ApiRequest &request,
-                                                       const ProgramRequest &asked)
+Result<CallService::PendingAnswer> CallService::createLocked(PartitionSlot &slot, const ApiRequest &request,
+                                                             const ProgramRequest &programRequest)
 {
-    Written written;
-    written.epoch = slot.writer->epoch();
+    PendingAnswer pending;
+    pending.epoch = slot.writer->epoch();
     if (OwnedProgram *known = slot.find(request.program)) {
         const ProgramCreated &created = known->program.created();
         if (created.caller != request.caller || created.bodyHash != stableHash(request.body)) {
             return makeError(ErrorKind::IdempotencyConflict, "the idempotency key belongs to another request");
         }
-        // The first copy may still be on its way to the keepers; its answer holds only once it is there.
-        written.index = slot.writer->lastIndex();
-        written.body = programBody(known->program);
-        return written;
+        // The original request's record may not be committed yet.
+        pending.index = slot.writer->lastIndex();
+        pending.body = programBody(known->program);
+        return pending;
     }
-    BOOST_OUTCOME_TRY(ProgramCreated created, checkCreation(slot, request, asked));
-    written.index = parts_.table.append(slot, {request.program, wallClockMs(), std::move(created)});
-    written.body = programBody(slot.find(request.program)->program);
-    return written;
+    BOOST_OUTCOME_TRY(ProgramCreated created, checkCreation(slot, request, programRequest));
+    pending.index = parts_.table.append(slot, {request.program, wallClockMs(), std::move(created)});
+    pending.body = programBody(slot.find(request.program)->program);
+    return pending;
 }
 
 asio::awaitable<void> CallService::createProgram(ApiRequest request, Sink sink)
 {
     const PartitionId partition = parts_.table.partitionOf(request.program);
-    const Result<ProgramRequest> asked = parseProgramRequest(request.body);
-    if (!asked) {
-        sink(errorChunk(asked.error()));
+    const Result<ProgramRequest> programRequest = parseProgramRequest(request.body);
+    if (!programRequest) {
+        sink(errorChunk(programRequest.error()));
         co_return;
     }
-    Result<Written> written = parts_.table.tryWith(
-        partition, [&](PartitionSlot &slot) { return createLocked(slot, request, asked.value()); });
-    if (!written) {
-        sink(answerError(written.error()));
+    Result<PendingAnswer> pending = parts_.table.tryWith(
+        partition, [&](PartitionSlot &slot) { return createLocked(slot, request, programRequest.value()); });
+    if (!pending) {
+        sink(answerError(pending.error()));
         co_return;
     }
     const bool isCommitted
-        = co_await parts_.table.waitCommitted(partition, written.value().epoch, written.value().index);
+        = co_await parts_.table.waitCommitted(partition, pending.value().epoch, pending.value().index);
     if (!isCommitted) {
         sink(notOwner());
         co_return;
     }
-    sink(jsonChunk(statusCreated, written.value().body, Outcome::Ran));
+    sink(jsonChunk(statusCreated, pending.value().body, Outcome::Ran));
 }
 
 asio::awaitable<void> CallService::endProgram(ApiRequest request, Sink sink)
 {
     const PartitionId partition = parts_.table.partitionOf(request.program);
-    const TimePoint deadline = std::chrono::steady_clock::now() + endWait;
-    Written written;
+    const TimePoint deadline = std::chrono::steady_clock::now() + endTimeout;
+    PendingAnswer pending;
     bool isOpen = true;
     while (isOpen) {
         std::vector<std::shared_ptr<LiveCall>> open;
         const Result<void> tried = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<void> {
-            BOOST_OUTCOME_TRY(OwnedProgram * owned, findOwn(slot, request));
+            BOOST_OUTCOME_TRY(OwnedProgram * owned, findOwnedProgram(slot, request));
             owned->isEnding = true;
             isOpen = owned->program.firstOpenCall().has_value();
             for (auto &[sequence, live] : owned->live) {
                 open.push_back(live);
             }
-            written.epoch = slot.writer->epoch();
-            written.index = slot.writer->lastIndex();
+            pending.epoch = slot.writer->epoch();
+            pending.index = slot.writer->lastIndex();
             if (!isOpen && !owned->program.hasEnded()) {
-                written.index
+                pending.index
                     = parts_.table.append(slot, {request.program, wallClockMs(), ProgramEnded {"ended by its caller"}});
             }
-            written.body = programBody(owned->program);
+            pending.body = programBody(owned->program);
             return boost::outcome_v2::success();
         });
         if (!tried) {
             sink(answerError(tried.error()));
             co_return;
         }
-        // A call under way is stopped at its engine; its own answer says how it ended.
+        // Stops running calls at their engines; the result of each is reported in its own answer.
         for (const auto &live : open) {
             live->cancel();
         }
@@ -273,16 +273,16 @@
             break;
         }
         if (isOpen) {
-            co_await sleepFor(endPause);
+            co_await sleepFor(endPollInterval);
         }
     }
-    const bool isCommitted = co_await parts_.table.waitCommitted(partition, written.epoch, written.index);
+    const bool isCommitted = co_await parts_.table.waitCommitted(partition, pending.epoch, pending.index);
     if (!isCommitted) {
         sink(notOwner());
         co_return;
     }
-    parts_.runner.startRelease(partition, written.epoch, request.program);
-    sink(jsonChunk(isOpen ? 202 : statusOk, written.body, Outcome::Ran));
+    parts_.runner.startRelease(partition, pending.epoch, request.program);
+    sink(jsonChunk(isOpen ? 202 : statusOk, pending.body, Outcome::Ran));
 }
 
 void CallService::fetchCall(const ApiRequest &request, const Sink &sink)
@@ -290,7 +290,7 @@
     const PartitionId partition = parts_.table.partitionOf(request.program);
     Epoch epoch = 0;
     const Result<FoundCall> found = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<FoundCall> {
-        BOOST_OUTCOME_TRY(OwnedProgram * owned, findOwn(slot, request));
+        BOOST_OUTCOME_TRY(OwnedProgram * owned, findOwnedProgram(slot, request));
         epoch = slot.writer->epoch();
         if (owned->program.findCall(request.sequence) == nullptr) {
             return makeError(ErrorKind::NotFound, "the program has no call " + std::to_string(request.sequence));
@@ -314,7 +314,7 @@
         if (event.kind == LiveEvent::Kind::Moved) {
             sink(notOwner());
         } else if (error && !*hasSent) {
-            // Before the first event the error can still be an answer of its own, with its status.
+            // Nothing was sent yet, so the error can be returned with its own status.
             sink(errorChunk(*error));
         } else if (auto chunk = chunkFor(context, event)) {
             *hasSent = true;
@@ -325,7 +325,7 @@
         found.live->watch(request.lastEventId, forward);
         return;
     }
-    // The pieces are gone, so the text comes as one; a caller that has seen some of it begins anew.
+    // The single chunks are gone, so the whole text is sent; a caller that received a part of it restarts.
     const CallResult &result = *found.result;
     const std::uint64_t last = eventId(result.rootAttempt, static_cast<std::uint64_t>(result.completionTokens));
     if (request.lastEventId != 0 && request.lastEventId < last) {
--- a/src/daemon/cp_call_service.hpp
+++ b/src/daemon/cp_call_service.hpp
@@ -7,7 +7,7 @@
 namespace cardamompost
 {
 
-//! Answers callers' requests for the programs that this VM owns. Thread-safe.
+//! Handles API requests for the programs that this VM owns. Thread-safe.
 class CallService
 {
 public:
@@ -18,29 +18,29 @@
         Dispatcher &dispatcher;
         EventLog &log;
     };
-    //! Gets the pieces of an answer in order; from any thread. An error instead of a piece means that this VM can't
-    //! answer, and the request has to go to the owner: NotOwner.
+    //! Receives the chunks of a response in order, on any thread. The error NotOwner means that the request has to be
+    //! forwarded to the owner.
     using Sink = std::function<void(Result<ApiChunk>)>;
 
     CallService(boost::asio::any_io_executor executor, Parts parts);
 
     void handle(ApiRequest request, Sink sink);
-    //! Ends programs that nobody uses any more, and forgets those that ended long ago.
+    //! Starts the periodic sweep, which ends idle programs and removes those that ended long ago.
     void start();
     void stop();
 
 private:
-    //! A call that was found or accepted, and how to go on with it.
+    //! An existing or newly accepted call.
     struct FoundCall {
         AnswerContext context;
         Epoch epoch = 0;
-        //! Has to be committed before anything is said about the call; 0 for nothing.
+        //! Has to be committed before the call is answered; 0 if there is nothing to wait for.
         LogIndex index = 0;
         bool isNew = false;
         std::shared_ptr<LiveCall> live;
         std::optional<CallResult> result;
     };
-    struct Written {
+    struct PendingAnswer {
         Epoch epoch = 0;
         LogIndex index = 0;
         boost::json::object body;
@@ -50,15 +50,16 @@
     boost::asio::awaitable<void> createProgram(ApiRequest request, Sink sink);
     boost::asio::awaitable<void> endProgram(ApiRequest request, Sink sink);
     boost::asio::awaitable<void> submitCall(ApiRequest request, Sink sink);
-    boost::asio::awaitable<void> refuse(ApiRequest request, Error error, Sink sink);
+    boost::asio::awaitable<void> commitRefusal(ApiRequest request, Error error, Sink sink);
     boost::asio::awaitable<void> readProgram(ApiRequest request, Sink sink);
     void checkHold(const ApiRequest &request, const Sink &sink);
     void fetchCall(const ApiRequest &request, const Sink &sink);
     void watch(const ApiRequest &request, const FoundCall &found, const Sink &sink);
 
-    Result<Written> createLocked(PartitionSlot &slot, const ApiRequest &request, const ProgramRequest &asked);
+    Result<PendingAnswer> createLocked(PartitionSlot &slot, const ApiRequest &request,
+                                       const ProgramRequest &programRequest);
     Result<ProgramCreated> checkCreation(PartitionSlot &slot, const ApiRequest &request,
-                                         const ProgramRequest &asked) const;
+                                         const ProgramRequest &programRequest) const;
     Result<FoundCall> submitLocked(PartitionSlot &slot, const ApiRequest &request, const CallRequest &call);
     Result<FoundCall> submitSingleLocked(PartitionSlot &slot, const ApiRequest &request, const CallRequest &call,
                                          const Deployment &deployment);
@@ -69,7 +70,7 @@
     Result<void> checkNew(const OwnedProgram &owned, const CallRequest &call) const;
     FoundCall foundCall(PartitionSlot &slot, OwnedProgram &owned, const ApiRequest &request,
                         std::uint32_t sequence) const;
-    Result<OwnedProgram *> findOwn(PartitionSlot &slot, const ApiRequest &request) const;
+    Result<OwnedProgram *> findOwnedProgram(PartitionSlot &slot, const ApiRequest &request) const;
 
     boost::asio::awaitable<void> sweep();
     void sweepPartition(PartitionId partition);
--- a/src/daemon/cp_call_submit.cpp
+++ b/src/daemon/cp_call_submit.cpp
@@ -25,7 +25,7 @@
     return open;
 }
 
-// Most that the history can grow by calls that are still open: an answer of each, and its prompt.
+// Upper bound of the tokens that open calls can add to the history, with prompts and answers.
 std::int64_t openReservations(const Program &program)
 {
     std::int64_t tokens = 0;
@@ -35,8 +35,8 @@
     return tokens;
 }
 
-// A refusal of these kinds is a decision that another moment could change, so it has to be kept for its key.
-bool isKeptRefusal(ErrorKind kind)
+// These refusals depend on the current state, so they are stored for the idempotency key of the request.
+bool isPersistedRefusal(ErrorKind kind)
 {
     return kind == ErrorKind::OutOfOrder || kind == ErrorKind::OverLimit || kind == ErrorKind::Overloaded
         || kind == ErrorKind::BudgetExhausted || kind == ErrorKind::ProgramEnded;
@@ -55,7 +55,7 @@
         owned.program.id(), sequence,     call.accepted.kind, deployment == nullptr ? std::string() : deployment->model,
         call.acceptedMs,    request.form, request.isStream};
     found.epoch = slot.writer->epoch();
-    // A call with a LiveCall is answered through it, since that ends only when the result is committed.
+    // A LiveCall takes precedence over the stored result, since it finishes only after the result is committed.
     auto live = owned.live.find(sequence);
     if (live == owned.live.end() && !call.result) {
         live = owned.live.emplace(sequence, std::make_shared<LiveCall>()).first;
@@ -77,8 +77,7 @@
     std::uint32_t sequence = call.sequence;
     if (!key.empty()) {
         if (const CallRefused *refusal = owned.program.refusalOf(key)) {
-            // Guards against a request that runs after its caller was told "not run": a copy that was held up in a
-            // silent connection finds the refusal that the first one got.
+            // Prevents a delayed duplicate of a request from running after the first copy was refused.
             Error error
                 = makeError(errorKindFromName(refusal->errorKind).value_or(ErrorKind::Internal), refusal->errorMessage);
             error.outcome = Outcome::NotRun;
@@ -114,19 +113,19 @@
         return makeError(ErrorKind::OutOfOrder, fmt::format("'sequence' has to be {}", program.nextSequence()));
     }
     if (countOpen(program) >= maxOpenCalls) {
-        return makeError(ErrorKind::OverLimit, fmt::format("{} calls of the program wait already", maxOpenCalls));
+        return makeError(ErrorKind::OverLimit, fmt::format("the program already has {} open calls", maxOpenCalls));
     }
     const auto view = parts_.replica.view();
     const Caller *caller = view->configuration.findCaller(program.created().caller);
     const WorkClass *workClass = view->configuration.findClass(program.created().workClass);
     if (caller == nullptr || workClass == nullptr) {
-        return makeError(ErrorKind::Forbidden, "the program's caller or class is not declared any more");
+        return makeError(ErrorKind::Forbidden, "the program's caller or class is no longer declared");
     }
     if (call.kind == CallKind::Service) {
         const bool isAllowed
             = std::find(caller->services.begin(), caller->services.end(), call.service) != caller->services.end();
         if (!isAllowed) {
-            return makeError(ErrorKind::Forbidden, "the caller may not use service '" + call.service + "'");
+            return makeError(ErrorKind::Forbidden, "the caller is not allowed to use service '" + call.service + "'");
         }
     } else if (const auto refusal = parts_.dispatcher.refusalFor(program.created().deployment, workClass->rank,
                                                                  program.attainedTokens())) {
@@ -158,12 +157,11 @@
         const std::int64_t wanted = call.maxTokens == 0 ? defaultMaxTokens : call.maxTokens;
         const std::int64_t allowed = program.budget().remaining() - prompt;
         if (allowed < 1) {
-            return makeError(
-                ErrorKind::BudgetExhausted,
-                fmt::format("the call could take {} tokens before its first one, and the budget has {} left", prompt,
-                            program.budget().remaining()));
+            return makeError(ErrorKind::BudgetExhausted,
+                             fmt::format("the prompt of the call can take up to {} tokens, but the budget has {} left",
+                                         prompt, program.budget().remaining()));
         }
-        // The engine stops at the limit, so the stream is cut where the budget ends.
+        // The engine stops at this limit, which keeps the answer within the budget.
         call.maxTokens = std::min(wanted, allowed);
         accepted.reservedTokens = prompt + call.maxTokens;
     }
@@ -180,7 +178,7 @@
 Result<CallService::FoundCall> CallService::submitLocked(PartitionSlot &slot, const ApiRequest &request,
                                                          const CallRequest &call)
 {
-    BOOST_OUTCOME_TRY(OwnedProgram * owned, findOwn(slot, request));
+    BOOST_OUTCOME_TRY(OwnedProgram * owned, findOwnedProgram(slot, request));
     BOOST_OUTCOME_TRY(std::optional<FoundCall> existing, findExisting(slot, *owned, request, call));
     if (existing) {
         return std::move(*existing);
@@ -197,7 +195,7 @@
     const auto view = parts_.replica.view();
     const Caller *caller = view->configuration.findCaller(request.caller);
     if (caller == nullptr) {
-        return makeError(ErrorKind::Forbidden, "the caller is not declared any more");
+        return makeError(ErrorKind::Forbidden, "the caller is no longer declared");
     }
     ProgramCreated created;
     created.caller = request.caller;
@@ -215,12 +213,12 @@
     return found;
 }
 
-asio::awaitable<void> CallService::refuse(ApiRequest request, Error error, Sink sink)
+asio::awaitable<void> CallService::commitRefusal(ApiRequest request, Error error, Sink sink)
 {
     const PartitionId partition = parts_.table.partitionOf(request.program);
     Epoch epoch = 0;
     LogIndex index = 0;
-    // Without ownership nothing is written, and the request goes to the new owner.
+    // Without ownership nothing is written, and the request is forwarded to the new owner.
     [[maybe_unused]] const Result<void> tried
         = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<void> {
               if (slot.find(request.program) != nullptr) {
@@ -231,11 +229,11 @@
               }
               return boost::outcome_v2::success();
           });
-    bool isKept = false;
+    bool isCommitted = false;
     if (index != 0) {
-        isKept = co_await parts_.table.waitCommitted(partition, epoch, index);
+        isCommitted = co_await parts_.table.waitCommitted(partition, epoch, index);
     }
-    if (isKept) {
+    if (isCommitted) {
         sink(errorChunk(error));
     } else {
         sink(makeError(ErrorKind::NotOwner, "the partition moved to another VM"));
@@ -267,8 +265,8 @@
     });
     if (!found) {
         const Error error = found.error();
-        if (!request.idempotencyKey.empty() && isKeptRefusal(error.kind)) {
-            co_await refuse(std::move(request), error, std::move(sink));
+        if (!request.idempotencyKey.empty() && isPersistedRefusal(error.kind)) {
+            co_await commitRefusal(std::move(request), error, std::move(sink));
         } else if (error.kind == ErrorKind::NotOwner) {
             sink(error);
         } else {
--- a/src/daemon/cp_dispatcher.cpp
+++ b/src/daemon/cp_dispatcher.cpp
@@ -21,12 +21,12 @@
 constexpr Milliseconds tickInterval {20};
 constexpr Milliseconds pollInterval {250};
 constexpr Milliseconds pollTimeout {1000};
-// A VM without calls for a deployment does not ask its replicas for their load.
-constexpr Milliseconds pollAfterUse {30'000};
-// A report older than this says nothing any more; the replica counts as idle but for this VM's own calls.
-constexpr Milliseconds reportLife {5000};
-// Replicas of one deployment that one VM uses. Subsets of different VMs overlap, so no replica is left out, and
-// what a VM polls does not grow with the deployment.
+// Replicas of a deployment are polled only for this long after its last call on this VM.
+constexpr Milliseconds pollIdleTimeout {30'000};
+// Older reports are ignored; only this VM's own calls then count as load.
+constexpr Milliseconds maxReportAge {5000};
+// Maximum number of replicas per deployment that a VM uses, which bounds its polling. Chosen by rendezvous hashing, so
+// that the subsets of different VMs overlap.
 constexpr std::size_t subsetSize = 16;
 
 TimePoint timeNow()
@@ -80,7 +80,7 @@
 
 void Dispatcher::tick()
 {
-    Ready ready;
+    Completions completions;
     const auto view = parts_.replica.view();
     const TimePoint now = timeNow();
     {
@@ -90,10 +90,10 @@
             if (deployment != nullptr) {
                 refreshQueue(*deployment, now);
             }
-            run(name, queue, now, ready);
+            dispatchQueue(name, queue, now, completions);
         }
     }
-    finish(ready);
+    complete(completions);
 }
 
 std::vector<Replica> Dispatcher::subsetOf(const Deployment &deployment) const
@@ -114,7 +114,7 @@
     Queue &queue = queues_[deployment.name];
     if (!queue.scheduler || queue.queuePolicy != deployment.queuePolicy
         || queue.placementPolicy != deployment.placementPolicy) {
-        // Calls that wait keep their old scheduler until it is empty; a change of policy is no reason to lose them.
+        // A changed policy takes effect when the queue is empty, so that no waiting calls are lost.
         if (queue.scheduler && queue.scheduler->waiting() > 0) {
             return &queue;
         }
@@ -136,9 +136,9 @@
     for (const Replica &replica : subsetOf(deployment)) {
         ReplicaView view {replica.name, replica.failureDomain, replica.slots};
         const auto report = reports_.find(replica.name);
-        if (report != reports_.end() && now - report->second.at < reportLife) {
+        if (report != reports_.end() && now - report->second.at < maxReportAge) {
             view.othersInFlight = report->second.othersInFlight;
-            view.isClosed = report->second.isLeaving;
+            view.isClosed = report->second.isDraining;
         }
         view.isClosed = view.isClosed || health_.isEjected(replica.name, deployment.replicas.size(), now);
         view.usableSlotShare = health_.usableSlotShare(replica.name, now);
@@ -160,97 +160,98 @@
     parts_.metrics.counter("cardamompost_placements_total", {{"class", decision.workClass}, {"how", how}}).add();
 }
 
-void Dispatcher::run(const std::string & /*name*/, Queue &queue, TimePoint now, Ready &ready)
+void Dispatcher::dispatchQueue(const std::string & /*name*/, Queue &queue, TimePoint now, Completions &completions)
 {
     for (PlacementDecision &decision : queue.scheduler->place(now)) {
         auto waiter = waiters_.extract(decision.call);
         countPlacement(decision);
-        Placed placed {queue.replicas.at(decision.replica), queue.model, std::move(decision)};
+        AcquiredReplica acquiredReplica {queue.replicas.at(decision.replica), queue.model, std::move(decision)};
         if (waiter.empty()) {
-            queue.scheduler->onFinished(placed.replica.name);
+            queue.scheduler->onFinished(acquiredReplica.replica.name);
             continue;
         }
-        ready.emplace_back(std::move(waiter.mapped().done), std::move(placed));
+        completions.emplace_back(std::move(waiter.mapped().done), std::move(acquiredReplica));
     }
     for (DroppedCall &dropped : queue.scheduler->takeDropped(now)) {
         auto waiter = waiters_.extract(dropped.call);
         if (!waiter.empty()) {
-            ready.emplace_back(std::move(waiter.mapped().done), std::move(dropped.error));
+            completions.emplace_back(std::move(waiter.mapped().done), std::move(dropped.error));
         }
     }
 }
 
-void Dispatcher::finish(Ready &ready)
+void Dispatcher::complete(Completions &completions)
 {
-    for (auto &[done, result] : ready) {
+    for (auto &[done, result] : completions) {
         done(std::move(result));
     }
 }
 
-asio::awaitable<Result<Placed>> Dispatcher::acquire(std::string deployment, WaitingCall call)
+asio::awaitable<Result<AcquiredReplica>> Dispatcher::acquire(std::string deployment, WaitingCall call)
 {
-    auto begin
-        = [this, deployment = std::move(deployment), call = std::move(call)](std::function<void(Result<Placed>)> done) {
-              Ready ready;
-              const auto view = parts_.replica.view();
-              const TimePoint now = timeNow();
-              {
-                  const std::lock_guard lock(mutex_);
-                  const Deployment *declared = view->configuration.findDeployment(deployment);
-                  if (declared == nullptr) {
-                      ready.emplace_back(
-                          std::move(done),
-                          notRun(ErrorKind::NotFound, "deployment '" + deployment + "' is not declared any more"));
-                  } else {
-                      Queue &queue = *refreshQueue(*declared, now);
-                      queue.lastUse = now;
-                      const Result<void> added = queue.scheduler->add(call);
-                      if (added) {
-                          waiters_.emplace(call.id, Waiter {deployment, std::move(done)});
-                          run(deployment, queue, now, ready);
-                      } else {
-                          ready.emplace_back(std::move(done), added.error());
-                      }
-                  }
-              }
-              finish(ready);
-          };
-    return awaitCallback<Result<Placed>>(std::move(begin));
+    auto begin = [this, deployment = std::move(deployment),
+                  call = std::move(call)](std::function<void(Result<AcquiredReplica>)> done) {
+        Completions completions;
+        const auto view = parts_.replica.view();
+        const TimePoint now = timeNow();
+        {
+            const std::lock_guard lock(mutex_);
+            const Deployment *declared = view->configuration.findDeployment(deployment);
+            if (declared == nullptr) {
+                completions.emplace_back(
+                    std::move(done),
+                    notRun(ErrorKind::NotFound, "deployment '" + deployment + "' is no longer declared"));
+            } else {
+                Queue &queue = *refreshQueue(*declared, now);
+                queue.lastUse = now;
+                const Result<void> added = queue.scheduler->add(call);
+                if (added) {
+                    waiters_.emplace(call.id, Waiter {deployment, std::move(done)});
+                    dispatchQueue(deployment, queue, now, completions);
+                } else {
+                    completions.emplace_back(std::move(done), added.error());
+                }
+            }
+        }
+        complete(completions);
+    };
+    return awaitCallback<Result<AcquiredReplica>>(std::move(begin));
 }
 
 void Dispatcher::cancel(const std::string &deployment, std::uint64_t call)
 {
-    Ready ready;
+    Completions completions;
     {
         const std::lock_guard lock(mutex_);
         const auto queue = queues_.find(deployment);
         auto waiter = waiters_.extract(call);
         if (queue != queues_.end() && !waiter.empty()) {
             queue->second.scheduler->remove(call);
-            ready.emplace_back(std::move(waiter.mapped().done), notRun(ErrorKind::Cancelled, "the program was ended"));
+            completions.emplace_back(std::move(waiter.mapped().done),
+                                     notRun(ErrorKind::Cancelled, "the program was ended"));
         }
     }
-    finish(ready);
+    complete(completions);
 }
 
-void Dispatcher::release(const Placed &placed, bool isReplicaAtFault)
+void Dispatcher::release(const AcquiredReplica &acquiredReplica, bool isReplicaAtFault)
 {
-    Ready ready;
+    Completions completions;
     const TimePoint now = timeNow();
     {
         const std::lock_guard lock(mutex_);
         if (isReplicaAtFault) {
-            health_.onFailure(placed.replica.name, now);
+            health_.onFailure(acquiredReplica.replica.name, now);
         } else {
-            health_.onSuccess(placed.replica.name, now);
+            health_.onSuccess(acquiredReplica.replica.name, now);
         }
-        const auto queue = queues_.find(placed.replica.deployment);
+        const auto queue = queues_.find(acquiredReplica.replica.deployment);
         if (queue != queues_.end()) {
-            queue->second.scheduler->onFinished(placed.replica.name);
-            run(queue->first, queue->second, now, ready);
+            queue->second.scheduler->onFinished(acquiredReplica.replica.name);
+            dispatchQueue(queue->first, queue->second, now, completions);
         }
     }
-    finish(ready);
+    complete(completions);
 }
 
 std::optional<Error> Dispatcher::refusalFor(const std::string &deployment, int rank, std::int64_t attainedTokens)
@@ -299,7 +300,7 @@
                 continue;
             }
             for (const Replica &replica : subsetOf(deployment)) {
-                asio::co_spawn(co_await asio::this_coro::executor, pollOne(replica), asio::detached);
+                asio::co_spawn(co_await asio::this_coro::executor, pollLoad(replica), asio::detached);
             }
         }
         co_await sleepFor(pollInterval);
@@ -310,10 +311,10 @@
 {
     const std::lock_guard lock(mutex_);
     const auto queue = queues_.find(deployment);
-    return queue != queues_.end() && timeNow() - queue->second.lastUse < pollAfterUse;
+    return queue != queues_.end() && timeNow() - queue->second.lastUse < pollIdleTimeout;
 }
 
-asio::awaitable<void> Dispatcher::pollOne(Replica replica)
+asio::awaitable<void> Dispatcher::pollLoad(Replica replica)
 {
     HttpCall call;
     call.address = replica.address;
@@ -343,9 +344,9 @@
             own += view.name == replica.name ? view.ownInFlight : 0;
         }
     }
-    // The report counts this VM's calls too; only what is above them belongs to others.
+    // The report includes this VM's own calls.
     const int others = std::max(0, number("running") + number("waiting") - own);
-    // A replica that answers this may still fail calls, so it does not count as a success.
+    // A load report is no success for the health check: the replica may still fail calls.
     reports_[replica.name] = {others, leaving != nullptr && leaving->is_bool() && leaving->as_bool(), timeNow()};
 }
 
--- a/src/daemon/cp_dispatcher.hpp
+++ b/src/daemon/cp_dispatcher.hpp
@@ -18,15 +18,15 @@
 namespace cardamompost
 {
 
-//! A replica that a call may go to now.
-struct Placed {
+//! A replica slot assigned to a call; returned with Dispatcher::release().
+struct AcquiredReplica {
     Replica replica;
     std::string model;
     PlacementDecision decision;
 };
 
-//! The queues of this VM's deployments, and what it knows of their replicas. Thread-safe.
-//! Lock order: after a partition slot's.
+//! Queues calls per deployment and assigns them to replicas, based on polled load and replica health. Thread-safe.
+//! Lock order: partition slot first, then the dispatcher.
 class Dispatcher
 {
 public:
@@ -43,17 +43,17 @@
     void start();
     void stop();
 
-    //! Waits for a replica. Errors: Overloaded, DeadlineExceeded, Cancelled, NotFound for a deployment that the
-    //! configuration has dropped; all with outcome NotRun.
-    boost::asio::awaitable<Result<Placed>> acquire(std::string deployment, WaitingCall call);
-    //! Ends the wait of a call with Cancelled.
+    //! Waits for a replica. Errors, all with outcome NotRun: Overloaded, DeadlineExceeded, Cancelled, and NotFound if
+    //! the deployment is not in the configuration.
+    boost::asio::awaitable<Result<AcquiredReplica>> acquire(std::string deployment, WaitingCall call);
+    //! Completes a waiting call with Cancelled.
     void cancel(const std::string &deployment, std::uint64_t call);
-    //! The call has left its replica.
-    void release(const Placed &placed, bool isReplicaAtFault);
-    //! The refusal that a call would get at once, before it is accepted; nothing when it would be queued.
+    //! Frees the replica slot and updates the replica's health.
+    void release(const AcquiredReplica &acquiredReplica, bool isReplicaAtFault);
+    //! The error with which a new call would be rejected; empty if it would be queued.
     [[nodiscard]] std::optional<Error> refusalFor(const std::string &deployment, int rank, std::int64_t attainedTokens);
 
-    //! A replica by name in the configuration now.
+    //! Looks a replica up by name in the current configuration.
     [[nodiscard]] std::optional<Replica> findReplica(const std::string &name) const;
 
     struct QueueStatus {
@@ -66,14 +66,14 @@
     [[nodiscard]] static std::uint64_t nextCallId();
 
 private:
-    struct Report {
+    struct LoadReport {
         int othersInFlight = 0;
-        bool isLeaving = false;
+        bool isDraining = false;
         TimePoint at {};
     };
     struct Waiter {
         std::string deployment;
-        std::function<void(Result<Placed>)> done;
+        std::function<void(Result<AcquiredReplica>)> done;
     };
     struct Queue {
         std::unique_ptr<CallScheduler> scheduler;
@@ -84,16 +84,16 @@
         std::map<std::string, Replica> replicas;
         TimePoint lastUse {};
     };
-    using Ready = std::vector<std::pair<std::function<void(Result<Placed>)>, Result<Placed>>>;
+    using Completions = std::vector<std::pair<std::function<void(Result<AcquiredReplica>)>, Result<AcquiredReplica>>>;
 
     void scheduleTick();
     void tick();
-    //! Both need the lock.
+    //! refreshQueue() and dispatchQueue() require the lock.
     Queue *refreshQueue(const Deployment &deployment, TimePoint now);
-    void run(const std::string &name, Queue &queue, TimePoint now, Ready &ready);
-    void finish(Ready &ready);
+    void dispatchQueue(const std::string &name, Queue &queue, TimePoint now, Completions &completions);
+    void complete(Completions &completions);
     boost::asio::awaitable<void> pollLoads();
-    boost::asio::awaitable<void> pollOne(Replica replica);
+    boost::asio::awaitable<void> pollLoad(Replica replica);
     [[nodiscard]] std::vector<Replica> subsetOf(const Deployment &deployment) const;
     [[nodiscard]] bool isInUse(const std::string &deployment);
     void countPlacement(const PlacementDecision &decision);
@@ -104,7 +104,7 @@
     std::mutex mutex_;
     std::map<std::string, Queue> queues_;
     std::map<std::uint64_t, Waiter> waiters_;
-    std::map<std::string, Report> reports_;
+    std::map<std::string, LoadReport> reports_;
     ReplicaHealth health_;
     std::atomic<bool> isStopped_ {false};
 };
--- a/src/daemon/cp_live_call.cpp
+++ b/src/daemon/cp_live_call.cpp
@@ -6,24 +6,25 @@
 void LiveCall::watch(std::uint64_t after, Watcher watcher)
 {
     const std::lock_guard lock(mutex_);
-    Watching watching {after, std::move(watcher)};
-    restartIfOther(watching);
-    for (const Piece &piece : pieces_) {
-        deliver(watching, piece);
+    Subscription subscription {after, std::move(watcher)};
+    restartIfRootChanged(subscription);
+    for (const Chunk &chunk : chunks_) {
+        deliver(subscription, chunk);
     }
     if (end_) {
-        watching.watcher(*end_);
+        subscription.watcher(*end_);
         return;
     }
-    watchers_.push_back(std::move(watching));
+    watchers_.push_back(std::move(subscription));
 }
 
-void LiveCall::restartIfOther(Watching &watching) const
+void LiveCall::restartIfRootChanged(Subscription &subscription) const
 {
-    const bool isOther = watching.seen != 0 && rootAttempt_ != 0 && (watching.seen >> 32U) != rootAttempt_;
-    if (isOther) {
-        watching.seen = 0;
-        watching.watcher({LiveEvent::Kind::Restart, 0, {}, {}});
+    const bool hasRootChanged
+        = subscription.seen != 0 && rootAttempt_ != 0 && (subscription.seen >> 32U) != rootAttempt_;
+    if (hasRootChanged) {
+        subscription.seen = 0;
+        subscription.watcher({LiveEvent::Kind::Restart, 0, {}, {}});
     }
 }
 
@@ -34,32 +35,32 @@
         return;
     }
     rootAttempt_ = rootAttempt;
-    pieces_.clear();
-    for (Watching &watching : watchers_) {
-        restartIfOther(watching);
+    chunks_.clear();
+    for (Subscription &subscription : watchers_) {
+        restartIfRootChanged(subscription);
     }
 }
 
-void LiveCall::deliver(Watching &watching, const Piece &piece) const
+void LiveCall::deliver(Subscription &subscription, const Chunk &chunk) const
 {
-    const std::uint64_t id = eventId(rootAttempt_, piece.position);
-    if (id <= watching.seen) {
+    const std::uint64_t id = eventId(rootAttempt_, chunk.position);
+    if (id <= subscription.seen) {
         return;
     }
-    watching.seen = id;
-    watching.watcher({LiveEvent::Kind::Tokens, id, piece.text, {}});
+    subscription.seen = id;
+    subscription.watcher({LiveEvent::Kind::Tokens, id, chunk.text, {}});
 }
 
 void LiveCall::addTokens(std::uint64_t position, std::string text)
 {
     const std::lock_guard lock(mutex_);
-    // An engine that resumes a stream may repeat its last event.
-    if (end_ || (!pieces_.empty() && position <= pieces_.back().position)) {
+    // A resumed engine stream may repeat its last event.
+    if (end_ || (!chunks_.empty() && position <= chunks_.back().position)) {
         return;
     }
-    pieces_.push_back({position, std::move(text)});
-    for (Watching &watching : watchers_) {
-        deliver(watching, pieces_.back());
+    chunks_.push_back({position, std::move(text)});
+    for (Subscription &subscription : watchers_) {
+        deliver(subscription, chunks_.back());
     }
 }
 
@@ -70,8 +71,8 @@
         return;
     }
     end_ = event;
-    for (const Watching &watching : watchers_) {
-        watching.watcher(event);
+    for (const Subscription &subscription : watchers_) {
+        subscription.watcher(event);
     }
     watchers_.clear();
 }
@@ -89,15 +90,15 @@
 std::uint64_t LiveCall::position() const
 {
     const std::lock_guard lock(mutex_);
-    return pieces_.empty() ? 0 : pieces_.back().position;
+    return chunks_.empty() ? 0 : chunks_.back().position;
 }
 
 std::string LiveCall::text() const
 {
     const std::lock_guard lock(mutex_);
     std::string text;
-    for (const Piece &piece : pieces_) {
-        text += piece.text;
+    for (const Chunk &chunk : chunks_) {
+        text += chunk.text;
     }
     return text;
 }
--- a/src/daemon/cp_live_call.hpp
+++ b/src/daemon/cp_live_call.hpp
@@ -11,46 +11,45 @@
 namespace cardamompost
 {
 
-//! Something that happened to a call while somebody watches it.
+//! An event in the answer stream of a call.
 struct LiveEvent {
     enum class Kind {
         Tokens,
-        //! What was sent of the answer so far is void; it begins anew.
+        //! Text sent so far is invalid; the answer restarts from the beginning.
         Restart,
         Final,
-        //! The partition has another owner now; the watcher has to ask there.
+        //! The partition has a new owner; the watcher has to reconnect there.
         Moved,
     };
 
     Kind kind = Kind::Tokens;
-    //! Made by eventId().
+    //! See eventId().
     std::uint64_t id = 0;
     std::string text;
     CallResult result;
 };
 
-//! Number of an event: the attempt that began the answer, and the tokens up to the end of the event. With the attempt
-//! in it, what a caller has seen of one generated answer is never taken for a part of another.
+//! Id of an event: the attempt that started the answer, and the number of tokens up to the end of the event. The
+//! attempt distinguishes positions in different generated answers.
 [[nodiscard]] constexpr std::uint64_t eventId(std::uint32_t rootAttempt, std::uint64_t position)
 {
     return (static_cast<std::uint64_t>(rootAttempt) << 32U) | position;
 }
 
-//! The part of a call's answer that is on its way, for those who watch it. Thread-safe.
+//! Buffers a call's answer while it is generated and streams it to watchers. Thread-safe.
 //!
-//! Shared ownership: the runner fills it while any number of requests watch, and none of them outlives the others
-//! by rule.
+//! Ownership is shared, since the runner and the watching requests end in any order.
 class LiveCall
 {
 public:
-    //! Called in order, and with the call's lock held: it may only queue.
+    //! Called in order, with the call's lock held: must not block or call back into the LiveCall.
     using Watcher = std::function<void(const LiveEvent &event)>;
 
-    //! Hands on what came after an event, then what comes. A watcher that has seen events of another root attempt
-    //! gets a Restart first.
+    //! Delivers the events after the given id, then new ones as they occur. Sends a Restart first if the id belongs to
+    //! another root attempt.
     void watch(std::uint64_t after, Watcher watcher);
 
-    //! The answer begins with this attempt; events of another one are void.
+    //! Starts the answer with this attempt; discards the text of any other root attempt.
     void begin(std::uint32_t rootAttempt);
     void addTokens(std::uint64_t position, std::string text);
     void finish(const CallResult &result);
@@ -59,7 +58,7 @@
     [[nodiscard]] std::uint64_t position() const;
     [[nodiscard]] std::string text() const;
 
-    //! Asks the runner to stop.
+    //! Requests cancellation; the runner polls isCancelled().
     void cancel()
     {
         isCancelled_ = true;
@@ -70,23 +69,23 @@
     }
 
 private:
-    struct Watching {
+    struct Subscription {
         std::uint64_t seen = 0;
         Watcher watcher;
     };
-    struct Piece {
+    struct Chunk {
         std::uint64_t position = 0;
         std::string text;
     };
 
-    void deliver(Watching &watching, const Piece &piece) const;
-    void restartIfOther(Watching &watching) const;
+    void deliver(Subscription &subscription, const Chunk &chunk) const;
+    void restartIfRootChanged(Subscription &subscription) const;
     void end(const LiveEvent &event);
 
     mutable std::mutex mutex_;
     std::uint32_t rootAttempt_ = 0;
-    std::vector<Piece> pieces_;
-    std::vector<Watching> watchers_;
+    std::vector<Chunk> chunks_;
+    std::vector<Subscription> watchers_;
     std::optional<LiveEvent> end_;
     std::atomic<bool> isCancelled_ {false};
 };
--- a/tests/daemon/cp_live_call.tests.cpp
+++ b/tests/daemon/cp_live_call.tests.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-//! What a watcher has been told.
-struct Seen {
+//! Records the events that a watcher receives.
+struct RecordedEvents {
     std::string text;
     std::uint64_t lastId = 0;
     int restarts = 0;
@@ -52,31 +52,30 @@
 
 BOOST_AUTO_TEST_SUITE(live_call)
 
-BOOST_AUTO_TEST_CASE(a_watcher_that_comes_late_gets_the_whole)
+BOOST_AUTO_TEST_CASE(a_late_watcher_receives_the_whole_answer)
 {
     LiveCall call;
     call.begin(1);
     call.addTokens(1, "a");
     call.addTokens(2, "b");
-    Seen seen;
+    RecordedEvents seen;
     call.watch(0, seen.watcher());
     call.addTokens(3, "c");
     call.finish(resultOf("abc"));
     BOOST_TEST(seen.text == "abc");
     BOOST_TEST(seen.isFinal);
-    Seen later;
+    RecordedEvents later;
     call.watch(eventId(1, 2), later.watcher());
     BOOST_TEST(later.text == "c");
     BOOST_TEST(later.isFinal);
 }
 
-// A caller's connection breaks in the middle of an answer and it resumes elsewhere; meanwhile the engine repeats its
-// last token on a new connection. No token may be lost or come twice.
-BOOST_AUTO_TEST_CASE(a_repeated_token_is_not_given_twice)
+// The engine repeats tokens when its stream is resumed; none may be lost or delivered twice.
+BOOST_AUTO_TEST_CASE(repeated_tokens_are_delivered_once)
 {
     LiveCall call;
     call.begin(1);
-    Seen seen;
+    RecordedEvents seen;
     call.watch(0, seen.watcher());
     call.addTokens(1, "a");
     call.addTokens(2, "b");
@@ -87,12 +86,11 @@
     BOOST_TEST(call.text() == "abc");
 }
 
-// The owner and the engine of a call are lost together, and another engine generates another answer. A caller that has
-// seen half of the first one must not get the second half of the other.
-BOOST_AUTO_TEST_CASE(an_answer_that_begins_anew_restarts_those_who_saw_the_old_one)
+// Guards against joining the first part of one generated answer with the rest of another.
+BOOST_AUTO_TEST_CASE(a_new_root_attempt_restarts_watchers_of_the_previous_answer)
 {
     LiveCall call;
-    Seen resumed;
+    RecordedEvents resumed;
     call.watch(eventId(1, 2), resumed.watcher());
     call.begin(2);
     call.addTokens(1, "x");
@@ -100,16 +98,16 @@
     call.addTokens(3, "z");
     BOOST_TEST(resumed.restarts == 1);
     BOOST_TEST(resumed.text == "xyz");
-    Seen later;
+    RecordedEvents later;
     call.watch(eventId(1, 1), later.watcher());
     BOOST_TEST(later.restarts == 1);
     BOOST_TEST(later.text == "xyz");
 }
 
-BOOST_AUTO_TEST_CASE(a_resumed_answer_of_the_same_attempt_does_not_restart)
+BOOST_AUTO_TEST_CASE(resuming_the_same_attempt_does_not_restart_the_answer)
 {
     LiveCall call;
-    Seen resumed;
+    RecordedEvents resumed;
     call.watch(eventId(1, 2), resumed.watcher());
     call.begin(1);
     call.addTokens(1, "a");
@@ -119,10 +117,10 @@
     BOOST_TEST(resumed.text == "c");
 }
 
-BOOST_AUTO_TEST_CASE(watchers_are_told_when_the_partition_moves)
+BOOST_AUTO_TEST_CASE(watchers_are_notified_when_the_partition_moves)
 {
     LiveCall call;
-    Seen seen;
+    RecordedEvents seen;
     call.watch(0, seen.watcher());
     call.move();
     call.finish(resultOf("late"));
@@ -130,7 +128,7 @@
     BOOST_TEST(!seen.isFinal);
 }
 
-BOOST_AUTO_TEST_CASE(the_forms_of_an_answer_carry_the_same_text)
+BOOST_AUTO_TEST_CASE(native_and_chat_formats_carry_the_same_text)
 {
     AnswerContext context;
     context.program = "0123456789abcdef0123456789abcdef";
