--- a/src/daemon/cp_control_client.cpp
+++ b/src/daemon/cp_control_client.cpp
@@ -20,8 +20,8 @@
 constexpr Milliseconds retryPause {60};
 constexpr Milliseconds pullWait {2000};
 constexpr Milliseconds pullMargin {1000};
-// The lease is used this much shorter than it was granted, for clocks that run apart.
-constexpr double leaseShare = 0.9;
+// The holder uses only this fraction of the granted lease, to tolerate clock drift.
+constexpr double leaseSafetyFactor = 0.9;
 
 TimePoint timeNow()
 {
@@ -47,9 +47,9 @@
 
 void ControlClient::start()
 {
-    asio::co_spawn(executor_, renew(), asio::detached);
+    asio::co_spawn(executor_, renewLease(), asio::detached);
     if (parts_.runner == nullptr) {
-        asio::co_spawn(executor_, follow(), asio::detached);
+        asio::co_spawn(executor_, pullEntries(), asio::detached);
     }
 }
 
@@ -86,21 +86,21 @@
     return own != nullptr && own->bootId == bootId_ && own->state == VmState::Leaving;
 }
 
-VmName ControlClient::target() const
+VmName ControlClient::leaderCandidate() const
 {
     const std::lock_guard lock(mutex_);
     return leader_.empty() ? parts_.settings.keepers[nextKeeper_ % parts_.settings.keepers.size()].name : leader_;
 }
 
-void ControlClient::noteLeader(const VmName &asked, const VmName &leader)
+void ControlClient::updateLeaderHint(const VmName &asked, const VmName &leader)
 {
     const std::lock_guard lock(mutex_);
-    // A keeper that names itself without serving, or nobody, is not worth asking again at once.
+    // A keeper that refuses while naming itself as leader is not retried at once; the next keeper is asked.
     leader_ = leader == asked ? VmName {} : leader;
     ++nextKeeper_;
 }
 
-asio::awaitable<Result<LeaseReply>> ControlClient::askForLease(const VmName &keeper, LeaseRequest request)
+asio::awaitable<Result<LeaseReply>> ControlClient::requestLease(const VmName &keeper, LeaseRequest request)
 {
     if (parts_.runner != nullptr && keeper == parts_.settings.vm) {
         auto start = [this, request = std::move(request)](std::function<void(LeaseReply)> done) {
@@ -117,39 +117,39 @@
     if (auto *lease = std::get_if<LeaseReply>(&reply.value())) {
         co_return std::move(*lease);
     }
-    co_return makeError(ErrorKind::Internal, "a lease was asked for and something else came");
+    co_return makeError(ErrorKind::Internal, "unexpected reply to a lease request");
 }
 
 void ControlClient::onLeaseReply(TimePoint sentAt, const LeaseReply &reply)
 {
     const std::lock_guard lock(mutex_);
-    const auto usable = std::chrono::duration_cast<Milliseconds>(Milliseconds(reply.durationMs) * leaseShare);
+    const auto usable = std::chrono::duration_cast<Milliseconds>(Milliseconds(reply.durationMs) * leaseSafetyFactor);
     leaseUntil_ = std::max(leaseUntil_, sentAt + usable);
-    currentUntil_ = std::max(currentUntil_, sentAt + entryGrace);
+    currentUntil_ = std::max(currentUntil_, sentAt + maxConfigurationStaleness);
     requiredVersion_ = std::max(requiredVersion_, reply.configurationVersion);
     leaderIndex_ = std::max(leaderIndex_, reply.minIndex);
     leader_ = reply.leader;
 }
 
-asio::awaitable<void> ControlClient::renew()
+asio::awaitable<void> ControlClient::renewLease()
 {
     while (!isStopped_) {
-        const VmName keeper = target();
+        const VmName keeper = leaderCandidate();
         const auto view = parts_.replica.view();
         LeaseRequest request {ownRecord(), view->index, view->state.configurationVersion(), countPrograms_()};
         const TimePoint sentAt = timeNow();
-        const Result<LeaseReply> reply = co_await askForLease(keeper, std::move(request));
+        const Result<LeaseReply> reply = co_await requestLease(keeper, std::move(request));
         const bool isGranted = reply && reply.value().granted;
         if (isGranted) {
             onLeaseReply(sentAt, reply.value());
         } else {
-            noteLeader(keeper, reply ? reply.value().leader : VmName {});
+            updateLeaderHint(keeper, reply ? reply.value().leader : VmName {});
         }
         co_await sleepFor(isGranted ? leaseRenewal : retryPause);
     }
 }
 
-asio::awaitable<void> ControlClient::follow()
+asio::awaitable<void> ControlClient::pullEntries()
 {
     std::size_t keeper = stableHash(parts_.settings.vm);
     while (!isStopped_) {
@@ -168,7 +168,7 @@
         } else if (!pulled->entries.empty()) {
             parts_.replica.apply(pulled->entries);
         } else {
-            // A keeper without news may be cut off from the others; the next one is asked in turn.
+            // A keeper that returns no entries may be partitioned from the leader; the next one is asked.
             ++keeper;
         }
     }
@@ -191,7 +191,7 @@
     if (auto *proposed = std::get_if<ProposeReply>(&reply.value())) {
         co_return std::move(*proposed);
     }
-    co_return makeError(ErrorKind::Internal, "a command was proposed and something else came");
+    co_return makeError(ErrorKind::Internal, "unexpected reply to a proposal");
 }
 
 asio::awaitable<Result<ApplyResult>> ControlClient::propose(ControlCommand command, Milliseconds timeout)
@@ -199,15 +199,15 @@
     const TimePoint deadline = timeNow() + timeout;
     const std::string bytes = encodeCommand(command);
     while (timeNow() < deadline && !isStopped_) {
-        const VmName keeper = target();
+        const VmName keeper = leaderCandidate();
         Result<ProposeReply> reply = co_await proposeAt(keeper, bytes);
         if (reply && reply.value().accepted) {
             co_return reply.value().result;
         }
-        noteLeader(keeper, reply ? reply.value().leader : VmName {});
+        updateLeaderHint(keeper, reply ? reply.value().leader : VmName {});
         co_await sleepFor(retryPause);
     }
-    Error error = notReady("the control log has no leader that answers");
+    Error error = notReady("no leader of the control log accepted the command");
     error.outcome = Outcome::Unknown;
     co_return error;
 }
@@ -227,34 +227,34 @@
     if (auto *status = std::get_if<StatusReply>(&reply.value())) {
         co_return std::move(*status);
     }
-    co_return makeError(ErrorKind::Internal, "a status was asked for and something else came");
+    co_return makeError(ErrorKind::Internal, "unexpected reply to a status request");
 }
 
 asio::awaitable<Result<StatusReply>> ControlClient::status()
 {
     const std::size_t tries = 2 * parts_.settings.keepers.size();
     for (std::size_t i = 0; i < tries; ++i) {
-        const VmName keeper = target();
+        const VmName keeper = leaderCandidate();
         Result<StatusReply> reply = co_await statusOf(keeper);
         if (reply && reply.value().isLeader) {
             co_return reply;
         }
-        noteLeader(keeper, reply ? reply.value().leader : VmName {});
+        updateLeaderHint(keeper, reply ? reply.value().leader : VmName {});
     }
-    co_return notReady("no leader of the control log answers");
+    co_return notReady("no leader of the control log replied");
 }
 
 asio::awaitable<Result<void>> ControlClient::refresh(Milliseconds timeout)
 {
-    // The reply carries the index of a leader that has confirmed with its quorum, after the request, that it leads.
+    // The reply carries the applied index of a leader that has confirmed its leadership with a quorum.
     const TimePoint deadline = timeNow() + timeout;
-    const VmName keeper = target();
+    const VmName keeper = leaderCandidate();
     const auto before = parts_.replica.view();
     const TimePoint sentAt = timeNow();
     LeaseRequest request {ownRecord(), before->index, before->state.configurationVersion(), countPrograms_(), true};
-    const Result<LeaseReply> reply = co_await askForLease(keeper, std::move(request));
+    const Result<LeaseReply> reply = co_await requestLease(keeper, std::move(request));
     if (!reply || !reply.value().granted) {
-        co_return notReady("the state here could not be confirmed as current");
+        co_return notReady("the control state of this VM could not be confirmed as current");
     }
     onLeaseReply(sentAt, reply.value());
     while (parts_.replica.view()->index < reply.value().minIndex && timeNow() < deadline) {
--- a/src/daemon/cp_control_client.hpp
+++ b/src/daemon/cp_control_client.hpp
@@ -10,8 +10,8 @@
 namespace cardamompost
 {
 
-//! This VM's side of the control log: renews its lease, follows the log where this VM is no keeper, and hands
-//! commands to the leader. Thread-safe.
+//! Client of the control log: renews this VM's lease, pulls committed entries if this VM is not a keeper, and
+//! forwards commands to the leader. Thread-safe.
 class ControlClient
 {
 public:
@@ -20,7 +20,7 @@
         ControlReplica &replica;
         PeerHub &hub;
         EventLog &log;
-        //! Null on a VM that is no keeper.
+        //! Null unless this VM is a keeper.
         ControlRunner *runner;
     };
 
@@ -29,36 +29,35 @@
     void start();
     void stop();
 
-    //! This process's number, new with each start.
+    //! Random id of this process, different after each start.
     [[nodiscard]] std::uint64_t bootId() const
     {
         return bootId_;
     }
     //! True while this VM may act as the owner of its partitions.
     [[nodiscard]] bool hasLease() const;
-    //! True while the configuration here is recent enough to judge callers by.
+    //! True while this VM's configuration is recent enough to authorize callers.
     [[nodiscard]] bool isCurrent() const;
-    //! This VM's own record says that it is live, and not leaving.
+    //! True if the control state records this process as leaving.
     [[nodiscard]] bool isLeaving() const;
 
-    //! Proposes until the command is applied, or the time is over. Resends reach the log more than once, so
-    //! a command has to be idempotent, as all are. Errors: NotReady, with outcome Unknown when one may still be
-    //! applied.
+    //! Retries until the command is applied or the timeout expires. Retries may append the command more than once,
+    //! so commands are idempotent. Errors: NotReady with outcome Unknown, as the command may still be applied.
     boost::asio::awaitable<Result<ApplyResult>> propose(ControlCommand command, Milliseconds timeout);
-    //! Waits until this VM's state holds all that was committed before the call. Errors: NotReady.
+    //! Waits until this VM's state includes everything committed before the call. Errors: NotReady.
     boost::asio::awaitable<Result<void>> refresh(Milliseconds timeout);
-    //! What the leader has heard from the VMs. Errors: NotReady.
+    //! Returns the leader's status, with its last report from each VM. Errors: NotReady.
     boost::asio::awaitable<Result<StatusReply>> status();
 
 private:
-    boost::asio::awaitable<void> renew();
-    boost::asio::awaitable<void> follow();
-    boost::asio::awaitable<Result<LeaseReply>> askForLease(const VmName &keeper, LeaseRequest request);
+    boost::asio::awaitable<void> renewLease();
+    boost::asio::awaitable<void> pullEntries();
+    boost::asio::awaitable<Result<LeaseReply>> requestLease(const VmName &keeper, LeaseRequest request);
     boost::asio::awaitable<Result<ProposeReply>> proposeAt(const VmName &keeper, std::string command);
     boost::asio::awaitable<Result<StatusReply>> statusOf(const VmName &keeper);
     void onLeaseReply(TimePoint sentAt, const LeaseReply &reply);
-    [[nodiscard]] VmName target() const;
-    void noteLeader(const VmName &asked, const VmName &leader);
+    [[nodiscard]] VmName leaderCandidate() const;
+    void updateLeaderHint(const VmName &asked, const VmName &leader);
     [[nodiscard]] VmRecord ownRecord() const;
 
     boost::asio::any_io_executor executor_;
--- a/src/daemon/cp_control_replica.cpp
+++ b/src/daemon/cp_control_replica.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Entries kept for VMs that pull: hundreds of changes, so that a restarted one rarely needs the whole state.
+// Size of the recent entries kept for VMs that pull, so that a restarted VM rarely needs a snapshot.
 constexpr std::size_t maxRecentBytes = 2U << 20U;
 constexpr std::size_t maxReplyBytes = 1U << 20U;
 
@@ -40,7 +40,7 @@
             continue;
         }
         const Result<ControlCommand> command = decodeCommand(entry.payload);
-        // Every VM skips the same unreadable entry, so their states stay equal.
+        // Entries that can't be decoded are skipped on every VM alike, so the states don't diverge.
         if (command) {
             results[entry.index] = next->state.apply(command.value());
         }
@@ -69,7 +69,7 @@
 {
     BOOST_OUTCOME_TRY(ControlState state, ControlState::decode(bytes));
     const std::shared_ptr<const ControlView> current = view();
-    // Guards against a configuration that reverts: a lagging keeper's older state is never taken.
+    // An older snapshot from a lagging keeper would revert the configuration.
     if (index <= current->index) {
         return boost::outcome_v2::success();
     }
--- a/src/daemon/cp_control_replica.hpp
+++ b/src/daemon/cp_control_replica.hpp
@@ -12,17 +12,17 @@
 namespace cardamompost
 {
 
-//! The control state at one index. Never changes, so that a request is judged by one state from start to end.
+//! Immutable control state at one log index, so that a request sees the same state throughout.
 struct ControlView {
     LogIndex index = 0;
     ControlState state;
-    //! The document of the state, typed; empty before the first one.
+    //! Parsed from the state's document; empty until the first document is applied.
     Configuration configuration;
 };
 
-//! This VM's copy of the control state. Thread-safe.
+//! This VM's replica of the control state. Thread-safe.
 //!
-//! Shared ownership: requests keep the view that they started with, while newer ones replace it.
+//! Views are shared: a request keeps the view that it started with while newer views replace it.
 class ControlReplica
 {
 public:
@@ -31,14 +31,14 @@
     explicit ControlReplica(std::uint32_t partitionCount);
 
     [[nodiscard]] std::shared_ptr<const ControlView> view() const;
-    //! Applies committed entries in order; those that are applied already are left out.
+    //! Applies committed entries in order and skips those already applied.
     //! \returns the result of each command, by index
     std::map<LogIndex, ApplyResult> apply(const std::vector<LogEntry> &entries);
-    //! Takes a snapshot that is newer than the view. Errors: StorageCorrupt.
+    //! Replaces the state by a snapshot; one that is not newer than the view is ignored. Errors: StorageCorrupt.
     Result<void> restore(LogIndex index, const std::string &bytes);
-    //! What another VM lacks behind an index.
+    //! Returns the entries after an index, or a snapshot if those entries are not kept.
     [[nodiscard]] PullReply changesAfter(LogIndex index) const;
-    //! Handlers run on the thread that applied, without a lock held.
+    //! Handlers run on the thread that applies or restores, without a lock held.
     void subscribe(ChangeHandler handler);
 
 private:
--- a/src/daemon/cp_control_runner.cpp
+++ b/src/daemon/cp_control_runner.cpp
@@ -19,7 +19,7 @@
 constexpr Milliseconds firstAssignmentDelay {1000};
 constexpr Milliseconds proposalTimeout {2000};
 constexpr LogIndex entriesPerSnapshot = 2000;
-// Moves in one command; bounds its size and the work that one entry brings at once.
+// Bounds the size of a command and the work of applying one entry.
 constexpr std::size_t maxMovesPerCommand = 2048;
 
 TimePoint timeNow()
@@ -85,14 +85,14 @@
     const TimePoint now = timeNow();
     node_->tick(now);
     expireProposals(now);
-    lead(now);
+    runLeaderTasks(now);
     processReady();
 }
 
 void ControlRunner::onRaft(RaftMessage message)
 {
     asio::post(strand_, [self = shared_from_this(), message = std::move(message)]() mutable {
-        // A keeper whose disk has failed stays silent: it could promise or confirm what it can't keep.
+        // A keeper whose disk has failed must not vote or acknowledge entries.
         if (!self->isRunning() || !self->parts_.disk.isHealthy()) {
             return;
         }
@@ -103,10 +103,10 @@
 
 void ControlRunner::processReady()
 {
-    if (isBusy_ || isStopped_ || !node_->hasReady()) {
+    if (isProcessingReady_ || isStopped_ || !node_->hasReady()) {
         return;
     }
-    isBusy_ = true;
+    isProcessingReady_ = true;
     storeReady(std::make_shared<RaftReady>(node_->takeReady()));
 }
 
@@ -139,7 +139,7 @@
         asio::post(self->strand_, [self, ready, isWritten] {
             self->isStopped_ = self->isStopped_ || !isWritten;
             if (self->isStopped_) {
-                self->failWaiting();
+                self->failPending();
             } else {
                 self->completeReady(*ready);
             }
@@ -148,9 +148,9 @@
     parts_.disk.post(std::move(job));
 }
 
-void ControlRunner::failWaiting()
+void ControlRunner::failPending()
 {
-    // Guards against silence: a member that has stopped would never answer those who wait for it.
+    // A stopped member processes nothing further, so pending proposals and reads would never complete.
     for (auto &[index, proposal] : std::exchange(proposals_, {})) {
         proposal.done({});
     }
@@ -178,7 +178,7 @@
     }
     applyCommitted(ready.committed);
     for (const RaftReadyRead &read : ready.reads) {
-        // The state that is applied here has to include all that was committed when the read was asked for.
+        // The applied state must include everything committed when the read was requested.
         if (auto waiting = reads_.extract(read.id); !waiting.empty()) {
             waiting.mapped()(parts_.replica.view()->index >= read.index);
         }
@@ -188,8 +188,8 @@
             waiting.mapped()(false);
         }
     }
-    compactIfLong();
-    isBusy_ = false;
+    compactIfNeeded();
+    isProcessingReady_ = false;
     processReady();
 }
 
@@ -205,14 +205,14 @@
             continue;
         }
         const auto result = results.find(entry.index);
-        // Another leader's entry at the index means that the proposed one is gone for good.
+        // An entry of another term at this index means that the proposed entry was overwritten.
         const bool isOwn = proposal.mapped().term == entry.term && result != results.end();
         proposal.mapped().done(
             {isOwn, node_->leader(), entry.index, isOwn ? result->second : ApplyResult {ApplyKind::Stale, 0}});
     }
 }
 
-void ControlRunner::compactIfLong()
+void ControlRunner::compactIfNeeded()
 {
     const std::shared_ptr<const ControlView> view = parts_.replica.view();
     if (view->index < lastSnapshot_ + entriesPerSnapshot) {
@@ -242,8 +242,8 @@
 
 void ControlRunner::expireProposals(TimePoint now)
 {
-    // Guards against an operator who hears nothing: a proposal of a deposed leader may never be applied under
-    // its index, or only much later. The proposer asks again, and the request id tells the copies apart.
+    // A proposal of a deposed leader may never be applied at its index, or only much later. The proposer retries;
+    // commands are idempotent.
     for (auto item = proposals_.begin(); item != proposals_.end();) {
         if (now - item->second.since < proposalTimeout) {
             ++item;
@@ -263,8 +263,8 @@
             done(std::move(reply));
             return;
         }
-        // Guards against a deposed leader that still hears from its old followers' side: its state may lack what the
-        // new one has accepted, a configuration as well as an epoch.
+        // The state of a deposed leader may lack configurations and epochs that the new leader has committed, so
+        // leadership is confirmed with a quorum first.
         self->confirmRead([reply, done](bool isConfirmed) {
             LeaseReply confirmed = reply;
             confirmed.granted = isConfirmed;
@@ -291,7 +291,7 @@
     if (!isSameProcess || known->state == VmState::Lost) {
         VmRecord record = request.vm;
         record.state = VmState::Live;
-        proposeOwn(record);
+        proposeAsLeader(record);
         return reply;
     }
     reply.granted = true;
@@ -332,31 +332,31 @@
     });
 }
 
-void ControlRunner::lead(TimePoint now)
+void ControlRunner::runLeaderTasks(TimePoint now)
 {
     if (!node_->isEstablishedLeader()) {
         return;
     }
-    becomeLeaderIfNew(now);
+    startLeadershipIfNewTerm(now);
     expireLeases(now);
-    // A new system waits for its VMs, so that the first one to register does not get everything.
+    // In a new system, assignment is delayed so that the first VM to register does not get every partition.
     const bool isNewSystem = parts_.replica.view()->state.partitions().front().epoch == 0;
     if (!isNewSystem || now - leadingSince_ > firstAssignmentDelay) {
         assignPartitions();
     }
 }
 
-void ControlRunner::becomeLeaderIfNew(TimePoint now)
+void ControlRunner::startLeadershipIfNewTerm(TimePoint now)
 {
     if (leadingTerm_ == node_->term()) {
         return;
     }
     leadingTerm_ = node_->term();
     leadingSince_ = now;
-    ownProposal_ = 0;
+    leaderProposal_ = 0;
     leases_.clear();
-    // Guards against a new leader that takes everyone for lost: what the last one heard is not known here, so
-    // every VM counts as heard from right now.
+    // The previous leader's lease times are not replicated. All leases restart now, so that a new leader does not
+    // mark every VM as lost.
     for (const auto &[name, vm] : parts_.replica.view()->state.vms()) {
         leases_[name] = {vm, now, 0, 0, 0};
     }
@@ -372,7 +372,7 @@
         if (vm.state != VmState::Lost && isExpired) {
             VmRecord lost = vm;
             lost.state = VmState::Lost;
-            proposeOwn(lost);
+            proposeAsLeader(lost);
             return;
         }
     }
@@ -392,13 +392,13 @@
         return;
     }
     moves.resize(std::min(moves.size(), maxMovesPerCommand));
-    proposeOwn(moves);
+    proposeAsLeader(moves);
 }
 
-void ControlRunner::proposeOwn(const ControlCommand &command)
+void ControlRunner::proposeAsLeader(const ControlCommand &command)
 {
-    // One at a time: the next is planned from the state that this one leaves.
-    if (ownProposal_ > parts_.replica.view()->index) {
+    // One proposal at a time: the next is planned from the state after this one is applied.
+    if (leaderProposal_ > parts_.replica.view()->index) {
         return;
     }
     if (const auto *vm = std::get_if<VmRecord>(&command)) {
@@ -407,7 +407,7 @@
     }
     const Result<LogIndex> index = node_->propose(encodeCommand(command));
     if (index) {
-        ownProposal_ = index.value();
+        leaderProposal_ = index.value();
         processReady();
     }
 }
--- a/src/daemon/cp_control_runner.hpp
+++ b/src/daemon/cp_control_runner.hpp
@@ -11,8 +11,8 @@
 namespace cardamompost
 {
 
-//! Runs a keeper's member of the control log, and on the leader what follows from it: leases and owners.
-//! All functions may be called from any thread; the work is done on the runner's strand.
+//! Runs a keeper's Raft member of the control log. On the leader, also tracks leases and assigns partitions.
+//! Thread-safe; the work runs on the runner's strand.
 class ControlRunner : public std::enable_shared_from_this<ControlRunner>
 {
 public:
@@ -27,7 +27,7 @@
 
     ControlRunner(boost::asio::any_io_executor executor, Parts parts);
 
-    //! Loads what the disk holds. Until then it answers as a member that knows nothing. Errors: StorageFailed,
+    //! Loads the member's state from the disk. Until then, requests get empty replies. Errors: StorageFailed,
     //! StorageCorrupt.
     Result<void> load();
     void start();
@@ -46,7 +46,7 @@
     void onLease(LeaseRequest request, std::function<void(LeaseReply)> done);
     void onPropose(std::string command, std::function<void(ProposeReply)> done);
     void onStatus(std::function<void(StatusReply)> done);
-    //! Asks for a read of state that is confirmed as current; done gets false when this member can't tell.
+    //! Confirms with a quorum that the applied state is current; done gets false if that fails.
     void confirmRead(std::function<void(bool)> done);
 
 private:
@@ -73,21 +73,21 @@
     void storeReady(std::shared_ptr<RaftReady> ready);
     void completeReady(RaftReady &ready);
     void applyCommitted(const std::vector<LogEntry> &entries);
-    void compactIfLong();
-    void failWaiting();
+    void compactIfNeeded();
+    void failPending();
     void expireProposals(TimePoint now);
-    void lead(TimePoint now);
-    void becomeLeaderIfNew(TimePoint now);
+    void runLeaderTasks(TimePoint now);
+    void startLeadershipIfNewTerm(TimePoint now);
     void expireLeases(TimePoint now);
     void assignPartitions();
-    void proposeOwn(const ControlCommand &command);
+    void proposeAsLeader(const ControlCommand &command);
     [[nodiscard]] LeaseReply makeLeaseReply(const LeaseRequest &request);
 
     boost::asio::strand<boost::asio::any_io_executor> strand_;
     Parts parts_;
     boost::asio::steady_timer timer_;
     std::optional<RaftNode> node_;
-    bool isBusy_ = false;
+    bool isProcessingReady_ = false;
     bool isStopped_ = false;
     std::atomic<bool> isFormed_ {false};
     std::atomic<Term> term_ {0};
@@ -97,7 +97,7 @@
     Term leadingTerm_ = 0;
     TimePoint leadingSince_ {};
     std::map<VmName, Lease> leases_;
-    LogIndex ownProposal_ = 0;
+    LogIndex leaderProposal_ = 0;
     LogIndex lastSnapshot_ = 0;
     RaftSnapshot newSnapshot_;
 };
--- a/src/daemon/cp_control_times.hpp
+++ b/src/daemon/cp_control_times.hpp
@@ -9,16 +9,16 @@
 //! How often a VM renews its lease.
 inline constexpr Milliseconds leaseRenewal {300};
 
-//! How long a lease lasts at its holder, from when the renewal was sent.
+//! Duration of a lease at its holder, counted from when the renewal was sent.
 inline constexpr Milliseconds leaseDuration {1200};
 
-//! When the leader takes a VM for lost, from when the renewal arrived. The margin over the duration covers clocks
-//! that run apart by up to a fifth; the arrival is later than the sending, which only adds to it.
+//! Time without a renewal after which the leader marks a VM as lost, counted from the last renewal's arrival. The
+//! margin over leaseDuration tolerates clock drift.
 inline constexpr Milliseconds leaseExpiry {1500};
 
-//! How long an entry serves without word from the leader. Longer than a change of leader, shorter than the time in
-//! which a configuration has to be in force everywhere.
-inline constexpr Milliseconds entryGrace {5000};
+//! Longest time that an entry serves requests without contact with the leader. Longer than a leader election, shorter
+//! than the time within which a configuration takes effect on every VM.
+inline constexpr Milliseconds maxConfigurationStaleness {5000};
 
 } // namespace cardamompost
 
--- a/src/daemon/cp_daemon.cpp
+++ b/src/daemon/cp_daemon.cpp
@@ -23,13 +23,13 @@
 namespace
 {
 
-constexpr Milliseconds pullPause {5};
-constexpr Milliseconds shutdownPoll {20};
+constexpr Milliseconds pullPollInterval {5};
+constexpr Milliseconds shutdownPollInterval {20};
 constexpr Milliseconds handoverLimit {10'000};
 constexpr Milliseconds drainLimit {600'000};
 constexpr Milliseconds leaveTimeout {3000};
 constexpr Milliseconds probeTimeout {500};
-constexpr Milliseconds probePause {200};
+constexpr Milliseconds probeInterval {200};
 
 double processSeconds()
 {
@@ -93,12 +93,12 @@
     return boost::outcome_v2::success();
 }
 
-// Nothing for a keeper of a new system; otherwise a term that is not below any that this keeper ever voted in.
-asio::awaitable<std::optional<Term>> Daemon::findLostTerm()
+// Returns nullopt in a new system; otherwise a term no lower than any in which this keeper has voted.
+asio::awaitable<std::optional<Term>> Daemon::findReplacementTerm()
 {
-    // Guards against a keeper that comes back without its disk and votes, or follows a deposed leader, as if it had
-    // never confirmed anything. Only when every other keeper says that there is no system yet is this one new.
-    // Otherwise so many others have to name their term that they share a member with every quorum it was part of.
+    // A keeper that has lost its disk must not vote again in an earlier term or follow a deposed leader. The system is
+    // new only if every other keeper reports an empty log. Otherwise enough keepers must report their term to
+    // intersect every quorum that this keeper was part of.
     std::map<VmName, ProbeReply> answers;
     const std::size_t others = settings_.keepers.size() - 1;
     const std::size_t needed = settings_.keepers.size() - (settings_.keepers.size() / 2 + 1) + 1;
@@ -125,7 +125,7 @@
         }
         if (answers.size() < others) {
             log_.info("keeper.waiting_for_others", {{"answered", answers.size()}, {"others", others}});
-            co_await sleepFor(probePause);
+            co_await sleepFor(probeInterval);
         }
     }
     co_return std::nullopt;
@@ -133,12 +133,12 @@
 
 asio::awaitable<void> Daemon::restorePromises()
 {
-    // Only a state that the leader confirms as current is known to hold every epoch from before the loss.
+    // Only a state that the leader confirms as current includes every epoch from before the disk was lost.
     bool isCurrent = false;
     while (!isCurrent) {
         const Result<void> refreshed = co_await control_->refresh(probeTimeout);
         isCurrent = refreshed.has_value();
-        co_await sleepFor(probePause);
+        co_await sleepFor(probeInterval);
     }
     std::vector<Epoch> epochs;
     const auto view = replica_.view();
@@ -151,8 +151,8 @@
 
 asio::awaitable<void> Daemon::startEmptyKeeper()
 {
-    const std::optional<Term> lostTerm = co_await findLostTerm();
-    const Result<void> started = startKeeper(lostTerm);
+    const std::optional<Term> replacementTerm = co_await findReplacementTerm();
+    const Result<void> started = startKeeper(replacementTerm);
     if (!started) {
         log_.write(LogLevel::Error, "keeper.failed", {{"error", started.error().message}});
         io_.stop();
@@ -270,7 +270,7 @@
     if (runner_) {
         onKeeperRequest(std::move(body), std::move(replier));
     } else {
-        replier->reply(FailureReply {makeError(ErrorKind::NotLeader, "this VM keeps no logs")});
+        replier->reply(FailureReply {makeError(ErrorKind::NotLeader, "this VM is not a keeper")});
     }
 }
 
@@ -300,7 +300,7 @@
         const TimePoint deadline = std::chrono::steady_clock::now() + Milliseconds(asked.waitMs);
         while (daemon.replica_.view()->index <= asked.afterIndex && std::chrono::steady_clock::now() < deadline
                && !to->isCancelled()) {
-            co_await sleepFor(pullPause);
+            co_await sleepFor(pullPollInterval);
         }
         to->reply(daemon.replica_.changesAfter(asked.afterIndex));
     };
@@ -338,13 +338,13 @@
         log_.info("daemon.left", {{"accepted", left.has_value()}});
     }
     while (table_->countOwned() > 0 && now() - startedAt < handoverLimit) {
-        co_await sleepFor(shutdownPoll);
+        co_await sleepFor(shutdownPollInterval);
     }
-    // Callers keep an old answer of the directory for its time to live, and still connect here until then.
-    const TimePoint directoryOver = startedAt + Milliseconds(settings_.directoryTtlMs);
-    while (now() < directoryOver
+    // Clients cache the directory for its TTL and may still connect to this VM until then.
+    const TimePoint directoryExpiry = startedAt + Milliseconds(settings_.directoryTtlMs);
+    while (now() < directoryExpiry
            || ((api_->active() > 0 || callRunner_->running() > 0) && now() - startedAt < drainLimit)) {
-        co_await sleepFor(shutdownPoll);
+        co_await sleepFor(shutdownPollInterval);
     }
     api_->stopAccepting();
     control_->stop();
--- a/src/daemon/cp_daemon.hpp
+++ b/src/daemon/cp_daemon.hpp
@@ -13,7 +13,7 @@
 namespace cardamompost
 {
 
-//! One process of the system with all its roles.
+//! Process that runs all roles of a VM: entry, partition owner and, if configured, keeper.
 class Daemon
 {
 public:
@@ -24,15 +24,15 @@
 
     //! Opens the store and the ports. Errors: InvalidConfiguration, StorageFailed, StorageCorrupt.
     Result<void> start();
-    //! Works until the process was asked to end and has ended what it had under way. \returns the exit code
+    //! Runs until the process is signalled and has drained its requests. \returns the exit code
     int run();
 
 private:
     Result<void> openKeeper();
-    //! \param replacedAtTerm  set for a disk that replaces a lost one: the lowest term that its member may take part in
+    //! \param replacedAtTerm  if the disk replaces a lost one, the lowest term in which its member may take part
     Result<void> startKeeper(std::optional<Term> replacedAtTerm);
     boost::asio::awaitable<void> startEmptyKeeper();
-    boost::asio::awaitable<std::optional<Term>> findLostTerm();
+    boost::asio::awaitable<std::optional<Term>> findReplacementTerm();
     boost::asio::awaitable<void> restorePromises();
     void onPeerRequest(FrameBody body, std::shared_ptr<PeerReplier> replier);
     void onKeeperRequest(FrameBody body, std::shared_ptr<PeerReplier> replier);
--- a/src/daemon/cp_disk_thread.cpp
+++ b/src/daemon/cp_disk_thread.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Jobs in one batch; bounds the memory of the batch and the wait of its first job.
+// Bounds the memory of a batch and the latency of its first job.
 constexpr std::size_t maxBatchJobs = 1024;
 
 } // namespace
@@ -83,8 +83,8 @@
     std::vector<Job> jobs;
     std::set<GroupId> groups;
     std::deque<Job> later;
-    // One job of a group in a batch: the second must see what the first has stored. Otherwise a seal could
-    // report a journal's end from before an append that is confirmed in the same sync.
+    // At most one job per group and batch, so that each job sees the writes of the one before. Otherwise a seal could
+    // miss an append that is confirmed in the same sync.
     while (!queue_.empty() && jobs.size() < maxBatchJobs) {
         auto &target = groups.insert(queue_.front().group).second ? jobs.emplace_back() : later.emplace_back();
         target = std::move(queue_.front());
--- a/src/daemon/cp_disk_thread.hpp
+++ b/src/daemon/cp_disk_thread.hpp
@@ -15,16 +15,16 @@
 namespace cardamompost
 {
 
-//! The thread that owns a keeper's store. Jobs that wait while a sync is under way share the next one.
+//! Thread that owns a log store. Jobs queued during a sync are batched into the next one.
 class DiskThread
 {
 public:
-    //! Work on the store for one group.
+    //! Unit of work on the store for one group.
     struct Job {
         GroupId group = 0;
-        //! Runs first; adds what has to be stored. Sees all that earlier jobs of its group have stored.
+        //! Adds writes to the batch. Sees the writes of earlier jobs of its group.
         std::function<void(LogStore &store, LogBatch &batch)> prepare;
-        //! Runs once what was added is synced, or has failed to be.
+        //! Runs after the batch was synced or has failed.
         std::function<void(const Result<void> &written)> finish;
     };
 
@@ -35,18 +35,18 @@
 
     //! Opens the store on the calling thread. Errors: StorageFailed, StorageCorrupt.
     Result<void> open();
-    //! Only before start().
+    //! Call only before start().
     [[nodiscard]] LogStore &store()
     {
         return *store_;
     }
     void start();
-    //! Ends what is under way; nothing is called any more afterwards. Whoever has posted jobs has to be there until
-    //! then.
+    //! Finishes the queued jobs and joins the thread; no callback runs afterwards. Objects that the jobs refer to must
+    //! outlive this call.
     void stop();
-    //! From any thread.
+    //! Thread-safe.
     void post(Job job);
-    //! False once the disk has failed; the keeper answers nothing from it any more.
+    //! False once the disk has failed; the store must not be served from then on.
     [[nodiscard]] bool isHealthy() const
     {
         return isHealthy_;
--- a/src/daemon/cp_keeper_service.cpp
+++ b/src/daemon/cp_keeper_service.cpp
@@ -72,7 +72,7 @@
     job.prepare = [this, reply, request = std::move(request)](LogStore & /*store*/, LogBatch &batch) {
         *reply = answer(keeper_, request, batch);
     };
-    // A reply goes out only after the sync that makes it true.
+    // Replies only after the sync, so that an acknowledged write is durable.
     job.finish = [reply, done = std::move(done)](const Result<void> &written) {
         if (written) {
             done(std::move(*reply));
@@ -86,7 +86,8 @@
 void KeeperService::handle(FrameBody request, Done done)
 {
     if (!isReady_) {
-        done(makeError(ErrorKind::NotReady, "the keeper's disk was replaced, and its promises are not restored yet"));
+        done(makeError(ErrorKind::NotReady,
+                       "the keeper's disk was replaced and its epoch promises are not restored yet"));
         return;
     }
     if (!disk_.isHealthy()) {
@@ -102,7 +103,7 @@
     } else if (auto *forget = std::get_if<JournalForget>(&request)) {
         post(std::move(*forget), std::move(done));
     } else {
-        done(makeError(ErrorKind::InvalidRequest, "this is no request to a journal"));
+        done(makeError(ErrorKind::InvalidRequest, "not a journal request"));
     }
 }
 
--- a/src/daemon/cp_keeper_service.hpp
+++ b/src/daemon/cp_keeper_service.hpp
@@ -9,7 +9,7 @@
 namespace cardamompost
 {
 
-//! Answers owners' requests to this VM's copies of journals. Thread-safe.
+//! Serves owners' requests to the journal replicas on this VM. Thread-safe.
 class KeeperService
 {
 public:
@@ -17,13 +17,14 @@
 
     explicit KeeperService(DiskThread &disk);
 
-    //! Errors: StorageFailed when the disk can't confirm; InvalidRequest for a body that is no journal request.
+    //! Errors: NotReady until the promises of a replaced disk are restored; StorageFailed if the disk has failed;
+    //! InvalidRequest if the body is not a journal request.
     void handle(FrameBody request, Done done);
-    //! Notes in an empty store that its disk replaces one which was lost.
+    //! Marks an empty store as the replacement of a lost disk.
     void markReplaced(LogBatch &batch);
-    //! True while this VM's copies wait for the epochs that the control log has given out.
+    //! True until the epochs promised before a disk loss are restored from the control log.
     [[nodiscard]] bool needsPromises();
-    //! Restores the promises of a replaced disk; to be called with a control state from after the loss.
+    //! Restores the promises of a replaced disk. The epochs must come from a control state read after the loss.
     void restorePromises(const std::vector<Epoch> &epochs);
 
 private:
--- a/src/daemon/cp_partition_handover.cpp
+++ b/src/daemon/cp_partition_handover.cpp
@@ -15,11 +15,11 @@
 {
 
 constexpr Milliseconds handoverTimeout {3000};
-constexpr Milliseconds handoverSettle {500};
-// Partitions given to another VM at once while balancing; a leaving VM gives all.
-constexpr std::size_t balanceStep = 64;
+constexpr Milliseconds handoverSettleTime {500};
+// Partitions moved in one step while balancing; a leaving VM moves all of them.
+constexpr std::size_t maxBalancingMoves = 64;
 
-bool hasUnrepeatableCall(const PartitionSlot &slot)
+bool hasDispatchedNonIdempotentCall(const PartitionSlot &slot)
 {
     for (const auto &[id, owned] : slot.programs) {
         const auto open = owned.program.firstOpenCall();
@@ -45,13 +45,13 @@
             usable.insert(name);
         }
     }
-    const std::size_t limit = parts_.control.isLeaving() ? slots_.size() : balanceStep;
+    const std::size_t limit = parts_.control.isLeaving() ? slots_.size() : maxBalancingMoves;
     std::vector<PartitionMove> moves = planHandover(view->state, parts_.settings.vm, usable, limit);
-    // A call that may not be repeated is finished here: at another owner it could only end as unknown.
+    // A dispatched call that is not idempotent completes here: a new owner could only report its outcome as unknown.
     std::erase_if(moves, [this](const PartitionMove &move) {
         PartitionSlot &target = slot(move.partition);
         const std::lock_guard lock(target.mutex);
-        target.isHandingOver = !hasUnrepeatableCall(target);
+        target.isHandingOver = !hasDispatchedNonIdempotentCall(target);
         return !target.isHandingOver;
     });
     if (!moves.empty()) {
@@ -65,9 +65,9 @@
     ControlCommand command = moves;
     const Result<ApplyResult> proposed = co_await parts_.control.propose(std::move(command), handoverTimeout);
     parts_.log.info("partition.handover", {{"count", moves.size()}, {"accepted", proposed.has_value()}});
-    // The moves reach this VM with the control log. Where one does not come, calls are taken again; if it comes
-    // later after all, the new owner finds them in the journal.
-    co_await sleepFor(handoverSettle);
+    // Moves take effect through the control log. A partition whose move has not been applied by now accepts calls
+    // again; if the move is applied later, the new owner recovers those calls from the journal.
+    co_await sleepFor(handoverSettleTime);
     std::vector<PartitionMove> kept;
     for (const PartitionMove &move : moves) {
         PartitionSlot &target = slot(move.partition);
--- a/src/daemon/cp_partition_table.cpp
+++ b/src/daemon/cp_partition_table.cpp
@@ -82,8 +82,8 @@
     const TimePoint now = timeNow();
     std::set<PartitionId> due;
     {
-        const std::lock_guard lock(busyMutex_);
-        due.swap(busy_);
+        const std::lock_guard lock(activeMutex_);
+        due.swap(activePartitions_);
     }
     for (const PartitionId partition : due) {
         {
@@ -94,7 +94,7 @@
             }
             target.writer->tick(now);
         }
-        // Puts the partition back into the set while it has something to wait for.
+        // Re-inserts the partition into the set while its writer is not idle.
         pump(partition);
     }
     if (now >= nextCount_) {
@@ -125,11 +125,11 @@
     for (const auto &slot : slots_) {
         const PartitionRecord &record = view.state.partitions()[slot->id];
         const bool isMine = isKnown && record.owner == parts_.settings.vm;
-        std::vector<std::function<void()>> calls;
+        std::vector<std::function<void()>> callbacks;
         {
             const std::lock_guard lock(slot->mutex);
             if (slot->writer && (!isMine || slot->writer->epoch() != record.epoch)) {
-                calls = close(*slot);
+                callbacks = close(*slot);
             }
             if (isMine && !slot->writer) {
                 open(*slot, record);
@@ -140,8 +140,8 @@
                 }
             }
         }
-        for (const auto &call : calls) {
-            call();
+        for (const auto &callback : callbacks) {
+            callback();
         }
         if (isMine) {
             pump(slot->id);
@@ -180,22 +180,22 @@
 
 std::vector<std::function<void()>> PartitionTable::close(PartitionSlot &slot)
 {
-    std::vector<std::function<void()>> calls;
+    std::vector<std::function<void()>> callbacks;
     for (auto &[index, waiters] : slot.waiters) {
         for (auto &waiter : waiters) {
-            calls.emplace_back([waiter = std::move(waiter)] { waiter(false); });
+            callbacks.emplace_back([waiter = std::move(waiter)] { waiter(false); });
         }
     }
     for (auto &[id, owned] : slot.programs) {
         for (auto &[sequence, live] : owned.live) {
-            calls.emplace_back([live = live] { live->move(); });
+            callbacks.emplace_back([live = live] { live->move(); });
         }
     }
     slot.waiters.clear();
     slot.programs.clear();
     slot.writer.reset();
     slot.isReady = false;
-    return calls;
+    return callbacks;
 }
 
 LogIndex PartitionTable::append(PartitionSlot &slot, JournalRecord record)
@@ -218,7 +218,7 @@
         return;
     }
     OwnedProgram *owned = slot.find(record.program);
-    // What is left of a program whose other records were forgotten: its last record may be the journal's last.
+    // The program's other records were removed; its last record may remain as the end of the journal.
     if (owned == nullptr) {
         return;
     }
@@ -231,7 +231,7 @@
     }
 }
 
-void PartitionTable::absorbRecovered(PartitionSlot &slot)
+void PartitionTable::applyRecovered(PartitionSlot &slot)
 {
     JournalWriter::Recovered recovered = slot.writer->takeRecovered();
     if (recovered.generation != slot.recoveredGeneration) {
@@ -250,21 +250,21 @@
 
 std::vector<std::function<void()>> PartitionTable::takeCommitted(PartitionSlot &slot)
 {
-    std::vector<std::function<void()>> calls;
+    std::vector<std::function<void()>> callbacks;
     while (!slot.waiters.empty() && slot.waiters.begin()->first <= slot.writer->commitIndex()) {
         for (auto &waiter : slot.waiters.begin()->second) {
-            calls.emplace_back([waiter = std::move(waiter)] { waiter(true); });
+            callbacks.emplace_back([waiter = std::move(waiter)] { waiter(true); });
         }
         slot.waiters.erase(slot.waiters.begin());
     }
-    return calls;
+    return callbacks;
 }
 
 void PartitionTable::pump(PartitionId partition)
 {
     PartitionSlot &target = slot(partition);
     std::vector<JournalRequest> requests;
-    std::vector<std::function<void()>> calls;
+    std::vector<std::function<void()>> callbacks;
     Epoch epoch = 0;
     bool becameReady = false;
     {
@@ -274,28 +274,28 @@
         }
         epoch = target.writer->epoch();
         requests = target.writer->takeRequests(timeNow());
-        absorbRecovered(target);
-        calls = takeCommitted(target);
+        applyRecovered(target);
+        callbacks = takeCommitted(target);
         becameReady = target.writer->phase() == JournalPhase::Open && !target.isReady;
         if (becameReady) {
             takeoverTime_.observe(std::chrono::duration<double>(timeNow() - target.openedAt).count());
         }
         target.isReady = target.isReady || becameReady;
         if (!target.writer->isIdle()) {
-            const std::lock_guard busyLock(busyMutex_);
-            busy_.insert(partition);
+            const std::lock_guard activeLock(activeMutex_);
+            activePartitions_.insert(partition);
         }
         if (target.writer->phase() == JournalPhase::Deposed) {
             parts_.log.warn("partition.deposed", {{"partition", partition}, {"epoch", epoch}});
             std::vector<std::function<void()>> closing = close(target);
-            calls.insert(calls.end(), closing.begin(), closing.end());
+            callbacks.insert(callbacks.end(), closing.begin(), closing.end());
         }
     }
     for (JournalRequest &request : requests) {
         send(partition, epoch, std::move(request));
     }
-    for (const auto &call : calls) {
-        call();
+    for (const auto &callback : callbacks) {
+        callback();
     }
     if (becameReady) {
         takeovers_.add();
@@ -320,7 +320,7 @@
                         [done](Result<FrameBody> reply, bool) { done(std::move(reply)); });
         return;
     }
-    asio::post(executor_, [done] { done(makeError(ErrorKind::PeerLost, "the keeper's address is not known")); });
+    asio::post(executor_, [done] { done(makeError(ErrorKind::PeerLost, "the keeper's address is unknown")); });
 }
 
 void PartitionTable::onReply(PartitionId partition, Epoch epoch, const VmName &keeper, std::uint64_t id,
@@ -378,7 +378,7 @@
 {
     const JournalForget request {partition, epoch, parts_.settings.vm, std::move(indexes)};
     for (const VmName &keeper : keepers) {
-        // A keeper that misses it keeps what nobody needs until its copy is made anew; nothing is lost by that.
+        // Best effort: a keeper that misses the request keeps unneeded records until its replica is rebuilt.
         if (keeper == parts_.settings.vm && parts_.keeper != nullptr) {
             parts_.keeper->handle(request, [](const Result<FrameBody> &) {});
         } else if (const auto client = parts_.hub.client(keeper)) {
--- a/src/daemon/cp_partition_table.hpp
+++ b/src/daemon/cp_partition_table.hpp
@@ -13,19 +13,19 @@
 namespace cardamompost
 {
 
-//! A program in its owner's memory, with the calls that are watched or run.
+//! A program in its owner's memory, with its streamed or running calls.
 struct OwnedProgram {
     Program program;
     std::map<std::uint32_t, std::shared_ptr<LiveCall>> live;
-    //! The call that a runner works on; 0 for none.
+    //! Sequence number of the running call; 0 for none.
     std::uint32_t running = 0;
-    //! Its caller has asked for its end; no more calls are accepted.
+    //! The caller has requested the program's end; no more calls are accepted.
     bool isEnding = false;
-    //! A task is telling the replicas that it has ended.
+    //! A task is notifying the backend servers that the program has ended.
     bool isReleasing = false;
 };
 
-//! A partition at its owner. Everything in it is guarded by its mutex.
+//! State of one partition on this VM, guarded by its mutex.
 struct PartitionSlot {
     PartitionId id = 0;
     std::mutex mutex;
@@ -33,9 +33,9 @@
     std::optional<JournalWriter> writer;
     TimePoint openedAt {};
     std::uint64_t recoveredGeneration = 0;
-    //! All that earlier owners left is loaded, and calls are taken.
+    //! The journal is recovered and the partition accepts calls.
     bool isReady = false;
-    //! It is about to be given to another VM; no new calls are taken.
+    //! A handover to another VM is in progress; no new calls are accepted.
     bool isHandingOver = false;
     std::map<ProgramId, OwnedProgram> programs;
     std::map<LogIndex, std::vector<std::function<void(bool)>>> waiters;
@@ -47,7 +47,7 @@
     }
 };
 
-//! The partitions that this VM owns, and the writing of their journals. Thread-safe.
+//! Partitions owned by this VM and the writers of their journals. Thread-safe.
 //!
 //! Lock order: a slot's mutex before the dispatcher's and any LiveCall's; never two slots at once; none is held
 //! while a coroutine is suspended.
@@ -59,38 +59,39 @@
         ControlReplica &replica;
         ControlClient &control;
         PeerHub &hub;
-        //! Null on a VM that is no keeper.
+        //! Null unless this VM is a keeper.
         KeeperService *keeper;
         EventLog &log;
         MetricRegistry &metrics;
     };
-    //! Called without a lock when a partition is loaded and takes calls.
+    //! Called without a lock held when a partition is recovered and accepts calls.
     using ReadyHandler = std::function<void(PartitionId partition, Epoch epoch)>;
 
     PartitionTable(boost::asio::any_io_executor executor, Parts parts);
 
     void start(ReadyHandler handler);
     void stop();
-    //! Takes over and gives up partitions as the control state says.
+    //! Opens and closes partitions according to the control state.
     void follow(const ControlView &view);
 
-    //! Runs a function on a partition that takes calls here. Errors: NotOwner, and those of the function.
+    //! Runs a function on a partition that accepts calls on this VM. Errors: NotOwner, and those of the function.
     //! \param function  takes a PartitionSlot& and returns a Result
     template<typename Function>
     auto tryWith(PartitionId partition, Function function) -> decltype(function(std::declval<PartitionSlot &>()));
 
-    //! Runs a function on a program while this VM is its owner in an epoch. False: it is not, or has no such program.
+    //! Runs a function on a program if this VM owns its partition in the epoch.
+    //! \returns false if it does not, or if the program does not exist
     //! \param function  takes a PartitionSlot& and an OwnedProgram&
     template<typename Function>
     bool withProgram(PartitionId partition, Epoch epoch, const ProgramId &program, Function function);
 
-    //! Writes a record and applies it. The slot's lock is held. \returns its place in the journal
+    //! Appends a record to the journal and applies it. Requires the slot's lock. \returns the record's index
     LogIndex append(PartitionSlot &slot, JournalRecord record);
-    //! Waits until a place is committed. False: the partition was lost before.
+    //! Waits until an index is committed. \returns false if this VM lost the partition first
     boost::asio::awaitable<bool> waitCommitted(PartitionId partition, Epoch epoch, LogIndex index);
-    //! Sends what the partition's journal has to send. No lock is held.
+    //! Sends the journal's pending requests and runs due callbacks. Call without a lock held.
     void pump(PartitionId partition);
-    //! Tells the keepers that records are not needed any more.
+    //! Tells the keepers to remove records that are not needed. Best effort.
     void forget(PartitionId partition, Epoch epoch, const std::vector<VmName> &keepers, std::vector<LogIndex> indexes);
 
     [[nodiscard]] PartitionId partitionOf(const ProgramId &program) const;
@@ -103,7 +104,7 @@
         return slots_.size();
     }
     [[nodiscard]] std::size_t countOwned();
-    //! A slot for a sweep; its lock is the caller's to take.
+    //! The caller locks the slot's mutex.
     [[nodiscard]] PartitionSlot &slot(PartitionId partition)
     {
         return *slots_[partition];
@@ -113,13 +114,13 @@
     void scheduleTick();
     void tick();
     void recountPrograms();
-    //! VMs whose process was started anew since the last view.
+    //! Returns the VMs whose process has restarted since the last view.
     std::vector<VmName> takeRestarted(const ControlView &view);
     void open(PartitionSlot &slot, const PartitionRecord &record);
-    //! Both need the slot's lock; they return what has to be called without it.
+    //! Both require the slot's lock and return callbacks to run without it.
     std::vector<std::function<void()>> close(PartitionSlot &slot);
     std::vector<std::function<void()>> takeCommitted(PartitionSlot &slot);
-    void absorbRecovered(PartitionSlot &slot);
+    void applyRecovered(PartitionSlot &slot);
     void applyRecord(PartitionSlot &slot, const JournalRecord &record, LogIndex index);
     void send(PartitionId partition, Epoch epoch, JournalRequest request);
     void onReply(PartitionId partition, Epoch epoch, const VmName &keeper, std::uint64_t id, Result<FrameBody> reply);
@@ -138,10 +139,9 @@
     std::atomic<bool> isHandingOver_ {false};
     TimePoint nextHandover_ {};
     TimePoint nextCount_ {};
-    //! Partitions whose journal waits for something; the others are not looked at by the tick. Its lock is taken
-    //! after a slot's.
-    std::mutex busyMutex_;
-    std::set<PartitionId> busy_;
+    //! Partitions whose journal writer is not idle; the tick skips the others. The mutex is locked after a slot's.
+    std::mutex activeMutex_;
+    std::set<PartitionId> activePartitions_;
     Counter &takeovers_;
     Histogram &takeoverTime_;
     Histogram &commitTime_;
@@ -156,7 +156,7 @@
         const std::lock_guard lock(target.mutex);
         const bool isOpen = target.writer && target.isReady && target.writer->phase() == JournalPhase::Open;
         if (!isOpen || target.isHandingOver || !parts_.control.hasLease()) {
-            return makeError(ErrorKind::NotOwner, "this VM does not own the program's partition now");
+            return makeError(ErrorKind::NotOwner, "this VM does not currently own the program's partition");
         }
         return function(target);
     };
--- a/src/daemon/cp_peer_hub.hpp
+++ b/src/daemon/cp_peer_hub.hpp
@@ -11,16 +11,16 @@
 
 struct ControlView;
 
-//! Clients to the system's other VMs by name. Thread-safe.
+//! Peer clients by VM name. Thread-safe.
 class PeerHub
 {
 public:
     PeerHub(boost::asio::any_io_executor executor, std::shared_ptr<boost::asio::ssl::context> tls, PeerTraffic &traffic,
             const std::vector<KeeperPeer> &keepers);
 
-    //! Null for a VM whose address is not known.
+    //! Null if the VM's address is unknown.
     [[nodiscard]] std::shared_ptr<PeerClient> client(const VmName &name);
-    //! Takes the addresses of the VMs that the control state knows.
+    //! Updates the addresses from the control state.
     void update(const ControlView &view);
     void closeAll();
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -17,13 +17,13 @@
 constexpr int exitStart = 4;
 
 constexpr std::string_view exitCodes
-    = "\nExit codes: 0 ended as asked, 2 wrong options, 3 faulty settings, 4 could not start.\n";
+    = "\nExit codes: 0 stopped on request, 2 invalid options, 3 invalid settings, 4 failed to start.\n";
 
 int runDaemon(const std::string &file)
 {
     std::ifstream input(file, std::ios::binary);
     if (!input) {
-        std::cerr << "cardamompostd: can't read settings '" << file << "'\n";
+        std::cerr << "cardamompostd: can't read settings file '" << file << "'\n";
         return exitSettings;
     }
     std::ostringstream text;
--- a/tests/daemon/cp_control_replica.tests.cpp
+++ b/tests/daemon/cp_control_replica.tests.cpp
@@ -21,7 +21,7 @@
 
 BOOST_AUTO_TEST_SUITE(control_replica)
 
-BOOST_AUTO_TEST_CASE(entries_are_applied_once_and_the_configuration_is_typed)
+BOOST_AUTO_TEST_CASE(entries_are_applied_once_and_the_configuration_is_parsed)
 {
     ControlReplica replica(4);
     replica.apply({{1, 1, EntryKind::Barrier, {}}, changeEntry(2, 0)});
@@ -32,9 +32,8 @@
     BOOST_TEST(replica.view()->configuration.findClass("c1") != nullptr);
 }
 
-// A VM without a disk restarts and is given the state of a keeper that lags. Operators were told that a later version
-// is in force everywhere; the VM must not go back.
-BOOST_AUTO_TEST_CASE(an_older_snapshot_is_not_taken)
+// Guards against a lagging keeper's snapshot reverting a configuration that is already in force.
+BOOST_AUTO_TEST_CASE(an_older_snapshot_is_ignored)
 {
     ControlReplica lagging(4);
     lagging.apply({changeEntry(1, 0)});
@@ -44,8 +43,7 @@
     BOOST_TEST(replica.view()->state.configurationVersion() == 2U);
 }
 
-// A VM was down while hundreds of changes passed.
-BOOST_AUTO_TEST_CASE(a_vm_that_is_behind_catches_up_by_entries_or_by_the_state)
+BOOST_AUTO_TEST_CASE(a_lagging_vm_catches_up_from_entries_or_a_snapshot)
 {
     ControlReplica ahead(4);
     for (LogIndex index = 1; index <= 500; ++index) {
