--- a/include/cardamompost/limits/cp_request_limiter.hpp
+++ b/include/cardamompost/limits/cp_request_limiter.hpp
@@ -17,8 +17,8 @@
 
 //! Precision with which limits are enforced.
 struct LimitTolerance {
-    //! In any span of this length an account gets at most its rate times the span plus its burst. 0 for spans of every
-    //! length.
+    //! In any span of this length an account gets at most its rate times the span plus its burst. 0 enforces this
+    //! for spans of any length.
     Milliseconds window {0};
     //! Excess allowed over the limit, as a share and as a number of requests. It is used only when the leader changes,
     //! because the new leader lacks the most recent admissions.
@@ -173,7 +173,7 @@
     std::unordered_map<std::string, Usage> usages_;
     TimePoint lastReport_ {};
     bool isReporting_ = false;
-    //! Some account has reached half of its unreported tolerance.
+    //! Some account has reached half of maxUnreported().
     bool isReportUrgent_ = false;
     RequestsPerProgram requestsPerProgram_;
     //! Ids of admitted requests: the current and the previous generation.
--- a/include/cardamompost/policy/cp_turn_placement.hpp
+++ b/include/cardamompost/policy/cp_turn_placement.hpp
@@ -36,9 +36,10 @@
 //! Assigns turns to engine slots for all entries.
 //!
 //! Uses least-loaded selection with cache affinity to the engine of the program's last turn and a preference for the
-//! entry's failure domain. While all slots are taken, turns wait in a priority queue: programs in progress first, then
-//! new ones, then late ones, each by rank. Under overload a program thus waits once, at its start. Followers track
-//! where programs ran, so that a new leader keeps the affinities.
+//! entry's failure domain. Turns are placed in the order of a priority queue: programs in progress first, then new
+//! ones, then late ones, each by rank. The first turn of a new program waits while all engines are at their load limit;
+//! turns of programs in progress may exceed it. Under overload a program that is not late thus waits once, at its
+//! start. Followers track where programs ran, so that a new leader keeps the affinities.
 //! Thread-safety: none. Time is an argument; no input or output.
 class TurnPlacement
 {
@@ -58,7 +59,7 @@
     void recordLastEngine(const std::string &program, const std::string &engine, TimePoint now);
     //! Excludes an engine that an entry could not reach from selection until the given time.
     void avoid(const std::string &engine, TimePoint until);
-    //! Releases expired slots and places turns that reached the maximum queue time.
+    //! Releases expired slots, and places turns that reached the maximum queue time regardless of load.
     void tick(TimePoint now);
     //! Drops all turns and engines but keeps affinities; callbacks of waiting turns receive an empty id.
     void clear();
--- a/src/cardamompost/net/cp_http_server.cpp
+++ b/src/cardamompost/net/cp_http_server.cpp
@@ -28,15 +28,15 @@
 Error readError(const boost::system::error_code &error)
 {
     if (error == http::error::body_limit) {
-        return makeError(ErrorKind::TooLarge, "the body is longer than allowed");
+        return makeError(ErrorKind::TooLarge, "the body exceeds the size limit");
     }
     if (error == http::error::header_limit || error == http::error::buffer_overflow) {
-        return makeError(ErrorKind::HeadersTooLarge, "the headers are longer than allowed");
+        return makeError(ErrorKind::HeadersTooLarge, "the headers exceed the size limit");
     }
     if (error == beast::error::timeout) {
         return makeError(ErrorKind::RequestTimeout, "the request did not arrive in time");
     }
-    return makeError(ErrorKind::InvalidRequest, "the request is not HTTP/1.1: " + error.message());
+    return makeError(ErrorKind::InvalidRequest, "the request is not valid HTTP/1.1: " + error.message());
 }
 
 bool isDisconnect(const boost::system::error_code &error)
--- a/src/gateway/cp_ledger_service.cpp
+++ b/src/gateway/cp_ledger_service.cpp
@@ -111,8 +111,8 @@
     presenceTimer_.cancel();
     texts_.stop();
     discovery_.stop();
-    for (const PendingUpdates::PendingRequest &question : pendingUpdates_.takeAll()) {
-        replyUpdate(question.request, question.replier, false);
+    for (const PendingUpdates::PendingRequest &pending : pendingUpdates_.takeAll()) {
+        replyUpdate(pending.request, pending.replier, false);
     }
     replyToWatchers(true);
     driver_.stop();
--- a/src/gateway/cp_ledger_service.hpp
+++ b/src/gateway/cp_ledger_service.hpp
@@ -145,7 +145,7 @@
     void onJoinReply(const VmName &target, const JoinReply &reply);
     //! The reply to VMs that look for the group.
     [[nodiscard]] GroupView groupView() const;
-    //! Sends a leader notice to the VMs that have sent no join request of late; on the leader only.
+    //! Sends a leader notice to the VMs that sent no join request recently; on the leader only.
     void notifySilentPeers();
     //! Logs a search for the leader that takes long.
     void logSearch(const VmName &target, const std::vector<VmName> &peers);
@@ -157,7 +157,7 @@
     void applyAccountLimit(const std::shared_ptr<ActiveBegin> &active);
     void recordLimited(const std::string &account, const std::string &id, const RequestLimiter::Decision &decision);
     //! Calls back with true once this leader holds the lease and the account's earlier usage is replicated.
-    //! \param deadline  when to call back with false, as also once this VM no longer leads
+    //! Calls back with false at the deadline, or earlier if this VM stops leading.
     void awaitAdmissionLease(const std::string &account, TimePoint deadline, std::function<void(bool)> done);
     //! Proposes the accounts' usage when a report is due.
     void reportUsage();
@@ -222,10 +222,11 @@
     std::optional<TimePoint> searchingSince_;
     TimePoint lastSearchLog_ {};
     std::unordered_map<std::string, std::int64_t> pendingTokens_;
-    //! Begins without a final reply, by turn, and those of them that are proposed, oldest first.
+    //! Begins without a final reply, by turn.
     std::unordered_map<std::string, std::shared_ptr<ActiveBegin>> activeBegins_;
+    //! Proposed begins with the time of their proposal, oldest first; decided ones are removed by commitDelay().
     std::deque<std::pair<TimePoint, std::shared_ptr<ActiveBegin>>> proposed_;
-    //! Requesters that wait for a proposed end, by turn.
+    //! Repliers to requests whose TurnFinish is proposed, by turn.
     std::unordered_map<std::string, Replier> finishes_;
     TurnPlacement placement_;
     RequestLimiter limiter_;
--- a/src/gateway/cp_ledger_updates.cpp
+++ b/src/gateway/cp_ledger_updates.cpp
@@ -93,20 +93,20 @@
     }
     const TimePoint now = std::chrono::steady_clock::now();
     if (!leads()) {
-        for (const PendingUpdates::PendingRequest &question : pendingUpdates_.takeAll()) {
-            replyUpdate(question.request, question.replier, false);
+        for (const PendingUpdates::PendingRequest &pending : pendingUpdates_.takeAll()) {
+            replyUpdate(pending.request, pending.replier, false);
         }
         return;
     }
     publishDocument();
     pendingUpdates_.serve(
         now, [this](const UpdateRequest &request) { return hasNewContent(request); },
-        [this](const PendingUpdates::PendingRequest &question) {
-            return replyUpdate(question.request, question.replier, true);
+        [this](const PendingUpdates::PendingRequest &pending) {
+            return replyUpdate(pending.request, pending.replier, true);
         });
-    for (const PendingUpdates::PendingRequest &question : pendingUpdates_.takeExpired(now)) {
-        deferredUpdates_.add(hasNewContent(question.request) ? 1 : 0);
-        replyUpdate(question.request, question.replier, false);
+    for (const PendingUpdates::PendingRequest &pending : pendingUpdates_.takeExpired(now)) {
+        deferredUpdates_.add(hasNewContent(pending.request) ? 1 : 0);
+        replyUpdate(pending.request, pending.replier, false);
     }
 }
 
--- a/tests/limits/cp_request_limiter.tests.cpp
+++ b/tests/limits/cp_request_limiter.tests.cpp
@@ -111,7 +111,7 @@
     };
     const TimePoint end = start + Milliseconds(20'000);
     std::vector<Program> programs;
-    int begun = 0;
+    int started = 0;
     int id = 0;
     for (TimePoint now = start; now < end + requestsAProgram * step; now += step) {
         // Each program sends its next request once per step; new programs arrive far faster than the limit allows.
@@ -124,15 +124,15 @@
         }
         for (int i = 0; i < 8 && now < end; ++i) {
             if (limiter.admit({"a", std::to_string(++id), true}, now).isAdmitted) {
-                ++begun;
+                ++started;
                 programs.push_back({1, false});
             }
         }
     }
     const auto complete = std::count_if(programs.begin(), programs.end(),
                                         [](const Program &program) { return program.done == requestsAProgram; });
-    BOOST_TEST(begun >= 150);
-    BOOST_TEST(static_cast<double>(complete) >= 0.85 * begun);
+    BOOST_TEST(started >= 150);
+    BOOST_TEST(static_cast<double>(complete) >= 0.85 * started);
 }
 
 // Guards against a division by a slice of 0 ms.
--- a/tests/policy/cp_response_time_tracker.tests.cpp
+++ b/tests/policy/cp_response_time_tracker.tests.cpp
@@ -6,7 +6,7 @@
 
 using namespace cardamompost;
 
-BOOST_AUTO_TEST_SUITE(answer_time)
+BOOST_AUTO_TEST_SUITE(response_time_tracker)
 
 BOOST_AUTO_TEST_CASE(the_timeout_is_half_of_the_time_left_without_enough_samples)
 {
