--- a/src/cardamompost/observe/cp_log_explainer.cpp
+++ b/src/cardamompost/observe/cp_log_explainer.cpp
@@ -84,24 +84,24 @@
     }
     if (cause == "silent") {
         return fmt::format(
-            "the backend server '{}' was sent the request and its response was overdue{}; it may have run, and "
-            "no other server could be tried",
+            "the backend server '{}' was sent the request and was silent for far longer than such answers "
+            "take{}; it may have run, and no other server could be asked any more",
             backend, detail);
     }
     if (cause == "broke-off") {
-        return fmt::format("the response of the backend server '{}' was truncated{}", backend, detail);
+        return fmt::format("the answer of the backend server '{}' broke off in the middle{}", backend, detail);
     }
     if (cause == "caller-gone" || cause == "the caller left") {
         return fmt::format("the caller left after {} ms, and the work was cancelled", number(end, "ms"));
     }
     if (cause == "timed-out") {
-        return fmt::format("the request timed out after {} ms at the backend server '{}'", number(end, "ms"), backend);
+        return fmt::format("its time was over after {} ms at the backend server '{}'", number(end, "ms"), backend);
     }
     if (cause == "not-durable" || cause == "not-granted") {
         return "the turn ran, but no quorum of the ledger confirmed it in time";
     }
     if (cause == "not-run") {
-        return fmt::format("no backend server could run it ({} were tried); it has not run", number(end, "sends"));
+        return fmt::format("no backend server could run it ({} were asked); it has not run", number(end, "sends"));
     }
     if (cause == "the ledger can't be reached") {
         return fmt::format(
@@ -130,8 +130,8 @@
     const std::string reached = text(limited, "reached") == "programs"
         ? "has begun as many programs as its limit can finish"
         : "has sent more requests than its limit allows";
-    return fmt::format("the account '{}' {}, {}; it has not run; the caller may retry after {} ms", account, reached,
-                       limit, number(limited, "retry_after_ms"));
+    return fmt::format("the account '{}' {}, {}; it has not run, and was told to come back after {} ms", account,
+                       reached, limit, number(limited, "retry_after_ms"));
 }
 
 std::string causeOfUnknownKey(const json::object &end)
@@ -169,12 +169,12 @@
 {
     const std::int64_t status = number(lines.end, "status");
     if (status == rateLimitedStatus && lines.limited.empty()) {
-        return "the logs of the ledger VMs, which record the limit that was reached";
+        return "the ledger VMs' logs, which have which limit was reached";
     }
     if (status == budgetExhaustedStatus && lines.refusal.empty()) {
-        return "the logs of the ledger VMs, which record what was spent";
+        return "the ledger VMs' logs, which have what was spent";
     }
-    return lines.end.empty() ? "the entry's request.end line; without it only the ledger's part is known"
+    return lines.end.empty() ? "the entry's line of its end; without it only the ledger's part is known"
                              : std::string();
 }
 
@@ -244,8 +244,8 @@
     std::stable_sort(result.lines.begin(), result.lines.end(), byTime);
     if (result.lines.empty()) {
         result.missing
-            = "no log line names this request: it did not reach an entry whose log was given, or the entry was killed "
-              "within 200 ms, before the line was flushed";
+            = "no line names this request: it never reached an entry whose log is here, or the entry was killed "
+              "within the last fifth of a second before its line was written";
         return result;
     }
     const std::int64_t at = result.lines.back().timeMs;
