--- a/fuzzing/fuzz_frame.cpp
+++ b/fuzzing/fuzz_frame.cpp
@@ -12,7 +12,7 @@
 void decodeBucket(std::string_view bytes)
 {
     Buckets buckets;
-    if (buckets.take({{0, std::string(bytes)}})) {
+    if (buckets.replaceBuckets({{0, std::string(bytes)}})) {
         static_cast<void>(buckets.content());
     }
 }
--- a/fuzzing/fuzz_ini_document.cpp
+++ b/fuzzing/fuzz_ini_document.cpp
@@ -10,15 +10,15 @@
 {
     using namespace cardamompost;
     const std::string_view text(reinterpret_cast<const char *>(data), size);
-    const bool isFaulty = !Configuration::parse(text).faults.empty();
+    const bool hasErrors = !Configuration::parse(text).errors.empty();
     static_cast<void>(parseSettings(text));
-    if (isFaulty) {
+    if (hasErrors) {
         return 0;
     }
     const SectionDocument document = SectionDocument::fromText(text);
     SectionDocument rebuilt;
     rebuilt.apply(rebuilt.deltaTo(document));
-    if (rebuilt.text() != document.text() || !Configuration::parse(rebuilt.text()).faults.empty()) {
+    if (rebuilt.text() != document.text() || !Configuration::parse(rebuilt.text()).errors.empty()) {
         std::abort();
     }
     return 0;
--- a/include/cardamompost/config/cp_configuration.hpp
+++ b/include/cardamompost/config/cp_configuration.hpp
@@ -75,7 +75,7 @@
 class Configuration
 {
 public:
-    //! Reports all faults at once; a document with faults yields no configuration.
+    //! Reports all errors at once; a document with errors yields no configuration.
     struct ParseResult;
     [[nodiscard]] static ParseResult parse(std::string_view text);
 
@@ -114,9 +114,9 @@
 };
 
 struct Configuration::ParseResult {
-    //! Meaningful only without faults.
+    //! Meaningful only without errors.
     Configuration configuration;
-    std::vector<ConfigFault> faults;
+    std::vector<ConfigError> errors;
 };
 
 //! The valid keys by section, for the reference page and its check.
--- a/include/cardamompost/config/cp_ini_document.hpp
+++ b/include/cardamompost/config/cp_ini_document.hpp
@@ -10,9 +10,9 @@
 namespace cardamompost
 {
 
-//! A fault in a document, with its position.
-struct ConfigFault {
-    //! Counted from 1; 0 if the fault belongs to no line.
+//! An error in a document, with its position.
+struct ConfigError {
+    //! Counted from 1; 0 if the error belongs to no line.
     std::size_t line = 0;
     std::string section;
     std::string key;
@@ -48,12 +48,12 @@
 
 //! An INI document parsed into sections and entries, whose values are not interpreted.
 //!
-//! A line is "[kind name]", "key = value", a comment that begins with ';' or '#', or blank. Collects faults instead of
+//! A line is "[kind name]", "key = value", a comment that begins with ';' or '#', or blank. Collects errors instead of
 //! stopping at the first one.
 class IniDocument
 {
 public:
-    //! Never fails: lines that are invalid are reported by faults().
+    //! Never fails: lines that are invalid are reported by errors().
     [[nodiscard]] static IniDocument parse(std::string_view text);
 
     [[nodiscard]] const std::vector<IniSection> &sections() const
@@ -61,19 +61,19 @@
         return sections_;
     }
 
-    [[nodiscard]] const std::vector<ConfigFault> &faults() const
+    [[nodiscard]] const std::vector<ConfigError> &errors() const
     {
-        return faults_;
+        return errors_;
     }
 
 private:
     void parseLine(std::string_view line, std::size_t number);
     void openSection(std::string_view inner, std::size_t number);
     void addEntry(std::string_view line, std::size_t number);
-    void addFault(std::size_t line, std::string key, std::string message);
+    void addError(std::size_t line, std::string key, std::string message);
 
     std::vector<IniSection> sections_;
-    std::vector<ConfigFault> faults_;
+    std::vector<ConfigError> errors_;
     std::string pendingComments_;
 };
 
--- a/include/cardamompost/config/cp_section_reader.hpp
+++ b/include/cardamompost/config/cp_section_reader.hpp
@@ -24,15 +24,15 @@
 //! Splits a comma-separated list, trimming items and skipping empty ones.
 [[nodiscard]] std::vector<std::string> splitList(std::string_view text);
 
-//! Reads typed values of a section and reports a fault for each key that is missing, malformed or unknown.
+//! Reads typed values of a section and reports an error for each key that is missing, malformed or unknown.
 class SectionReader
 {
 public:
-    SectionReader(const IniSection &section, std::vector<ConfigFault> &faults);
+    SectionReader(const IniSection &section, std::vector<ConfigError> &errors);
 
     //! The value, or the fallback if the key is absent.
     std::string text(std::string_view key, std::string_view fallback = {});
-    //! As text(), but reports a fault if the key is absent or empty.
+    //! As text(), but reports an error if the key is absent or empty.
     std::string requiredText(std::string_view key);
     std::int64_t integer(std::string_view key, std::int64_t fallback, std::int64_t min, std::int64_t max);
     double number(std::string_view key, double fallback, double min, double max);
@@ -40,16 +40,16 @@
     Address address(std::string_view key);
     std::vector<std::string> list(std::string_view key);
 
-    //! Reports a fault at a key of this section.
-    void fault(std::string_view key, std::string message);
-    //! Reports a fault for each key of the section that was not read.
+    //! Reports an error at a key of this section.
+    void addError(std::string_view key, std::string message);
+    //! Reports an error for each key of the section that was not read.
     void finish();
 
 private:
     const IniEntry *take(std::string_view key);
 
     const IniSection &section_;
-    std::vector<ConfigFault> &faults_;
+    std::vector<ConfigError> &errors_;
     std::set<std::string, std::less<>> known_;
 };
 
--- a/include/cardamompost/config/cp_settings.hpp
+++ b/include/cardamompost/config/cp_settings.hpp
@@ -44,10 +44,10 @@
     bool syncWrites = true;
 };
 
-//! Parsed settings with all faults; usable only without faults.
+//! Parsed settings with all errors; usable only without errors.
 struct SettingsResult {
     Settings settings;
-    std::vector<ConfigFault> faults;
+    std::vector<ConfigError> errors;
 };
 
 [[nodiscard]] SettingsResult parseSettings(std::string_view text);
--- a/include/cardamompost/consensus/cp_raft_message.hpp
+++ b/include/cardamompost/consensus/cp_raft_message.hpp
@@ -17,7 +17,7 @@
     VoteReply,
     Append,
     AppendReply,
-    SnapshotPiece,
+    SnapshotChunk,
     SnapshotReply,
     TimeoutNow,
 };
@@ -46,10 +46,10 @@
     //! Number of the leader's read confirmation round, echoed by replies.
     std::uint64_t round = 0;
     std::vector<LogEntry> entries;
-    //! SnapshotPiece: state holds the bytes from offset on. SnapshotReply: offset is the next one expected.
+    //! SnapshotChunk: state holds the bytes from offset on. SnapshotReply: offset is the next one expected.
     RaftSnapshot snapshot;
     std::uint64_t offset = 0;
-    bool isLastPiece = false;
+    bool isLastChunk = false;
 };
 
 } // namespace cardamompost
--- a/include/cardamompost/consensus/cp_raft_node.hpp
+++ b/include/cardamompost/consensus/cp_raft_node.hpp
@@ -5,7 +5,7 @@
 #include <cardamompost/consensus/cp_raft_message.hpp>
 #include <cardamompost/core/cp_error.hpp>
 #include <cardamompost/core/cp_time.hpp>
-#include <cardamompost/liveness/cp_silence_detector.hpp>
+#include <cardamompost/liveness/cp_failure_detector.hpp>
 
 #include <map>
 #include <random>
@@ -18,14 +18,14 @@
     VmName self;
     //! Upper bound of the base election timeout; the actual one is randomized between 1 and 2 times the base.
     Milliseconds electionTimeout {400};
-    //! Lower bound of the base election timeout, which adapts to the observed heartbeats (SilenceDetector); 0 for a
+    //! Lower bound of the base election timeout, which adapts to the observed heartbeats (FailureDetector); 0 for a
     //! fixed timeout.
     Milliseconds shortestElectionTimeout {0};
     //! Base election timeout after a start, so that a new group elects its leader sooner; 0 for electionTimeout.
     Milliseconds firstElectionTimeout {0};
     Milliseconds heartbeatInterval {100};
     std::size_t maxAppendBytes = 1U << 20U;
-    std::size_t snapshotPieceBytes = 256U << 10U;
+    std::size_t snapshotChunkBytes = 256U << 10U;
     //! Unacknowledged Append messages per member.
     std::size_t maxInFlight = 32;
     std::uint64_t seed = 0;
@@ -142,7 +142,7 @@
         return log_.membership();
     }
     //! Highest log index known to be replicated to a member; valid on the leader only.
-    [[nodiscard]] LogIndex matchOf(const VmName &member) const;
+    [[nodiscard]] LogIndex matchIndexOf(const VmName &member) const;
     //! True on a leader that has committed an entry of its own term.
     [[nodiscard]] bool isEstablishedLeader() const;
     //! True while the leader has had contact with a quorum so recently that no other leader can have been elected.
@@ -165,7 +165,7 @@
         std::uint64_t ackedRound = 0;
         LogIndex snapshotIndex = 0;
         std::uint64_t snapshotOffset = 0;
-        //! Time and offset of the last piece sent.
+        //! Time and offset of the last chunk sent.
         TimePoint snapshotSentAt {};
         std::uint64_t snapshotSentOffset = 0;
     };
@@ -189,13 +189,13 @@
     void onAppendReply(const RaftMessage &message);
     void initializeIfCaughtUp(const RaftMessage &message);
     void onRejectedAppend(Progress &progress, const RaftMessage &message);
-    void onSnapshotPiece(RaftMessage &message);
+    void onSnapshotChunk(RaftMessage &message);
     void onSnapshotReply(const RaftMessage &message);
     void onTimeoutNow(const RaftMessage &message);
 
     void broadcastAppend(bool isHeartbeat);
     void sendAppend(const VmName &to, bool isHeartbeat);
-    void sendSnapshotPiece(const VmName &to, Progress &progress);
+    void sendSnapshotChunk(const VmName &to, Progress &progress);
     void advanceCommit();
     void advanceReads();
     void checkQuorumContact();
@@ -224,7 +224,7 @@
     TimePoint leaderContact_ {};
     //! The leader whose contacts leaderDetector_ has observed.
     VmName observedLeader_;
-    SilenceDetector leaderDetector_;
+    FailureDetector leaderDetector_;
     TimePoint nextHeartbeat_ {};
     std::set<VmName> votes_;
     std::map<VmName, Progress> progress_;
--- a/include/cardamompost/journal/cp_journal_writer.hpp
+++ b/include/cardamompost/journal/cp_journal_writer.hpp
@@ -70,7 +70,7 @@
     //! True if the journal is open, no request is in flight and no keeper lags: tick() may pause until the next append.
     [[nodiscard]] bool isIdle() const;
     //! Determines the match index of a keeper again; for a keeper that restarted and may have lost its disk.
-    void invalidateMatch(const VmName &keeper);
+    void invalidateMatchIndex(const VmName &keeper);
 
     [[nodiscard]] JournalPhase phase() const
     {
@@ -97,7 +97,7 @@
     //! Number of keepers that match up to the commit index.
     [[nodiscard]] std::size_t upToDateKeepers() const;
     //! Match index of a keeper; 0 if unknown.
-    [[nodiscard]] LogIndex matchOf(const VmName &keeper) const;
+    [[nodiscard]] LogIndex matchIndexOf(const VmName &keeper) const;
 
 private:
     struct Keeper {
--- a/include/cardamompost/ledger/cp_ledger_clock.hpp
+++ b/include/cardamompost/ledger/cp_ledger_clock.hpp
@@ -16,9 +16,9 @@
 class LedgerClock
 {
 public:
-    //! Starts the clock when this member becomes leader.
+    //! Resumes the clock when this member becomes leader.
     //! \param lastMs  time of the last command that this member has applied
-    void takeOver(std::int64_t lastMs, TimePoint now)
+    void resumeFrom(std::int64_t lastMs, TimePoint now)
     {
         lastMs_ = lastMs;
         since_ = now;
--- a/include/cardamompost/ledger/cp_ledger_message.hpp
+++ b/include/cardamompost/ledger/cp_ledger_message.hpp
@@ -65,7 +65,7 @@
     std::string program;
     //! Empty for the first turn of a history.
     std::string previous;
-    std::int64_t tokensAtMost = 0;
+    std::int64_t maxTokens = 0;
     //! Tokens that all turns of the program may generate together; negative for no budget.
     std::int64_t budget = -1;
     std::uint32_t retentionMs = 0;
@@ -130,19 +130,19 @@
     //! The turn never ran; its reservation is released.
     NotRun,
     //! The turn failed midway; tokens returned to the caller are charged.
-    Broken,
+    Interrupted,
 };
 
 struct TurnFinish {
     std::string turn;
     std::string program;
     std::string previous;
-    TurnEnding ending = TurnEnding::Broken;
+    TurnEnding ending = TurnEnding::Interrupted;
     //! Tokens returned to the caller.
     std::int64_t tokens = 0;
     std::uint32_t retentionMs = 0;
     //! The turn's contents are retained so that later turns can continue it.
-    bool isKept = false;
+    bool isRetained = false;
     std::string input;
     std::string output;
     //! Id of the backend server that ran the turn; empty if none or unknown.
@@ -205,7 +205,7 @@
 };
 
 //! Address at which an entry accepts requests.
-struct EntryPlace {
+struct EntryEndpoint {
     std::string address;
     std::string failureDomain;
 };
--- a/include/cardamompost/ledger/cp_ledger_state.hpp
+++ b/include/cardamompost/ledger/cp_ledger_state.hpp
@@ -110,7 +110,7 @@
     TurnBeginStatus applyBegin(const TurnBegin &begin);
     void applyFinish(const TurnFinish &finish, LogIndex index);
     void applyVm(const LedgerVm &vm);
-    void keepTurn(const TurnFinish &finish, LogIndex index);
+    void retainTurn(const TurnFinish &finish, LogIndex index);
     void extendHistory(const std::string &last, std::int64_t expiresMs);
     void touchProgram(Program &program, std::uint32_t retentionMs);
     void expire();
--- a/include/cardamompost/limits/cp_request_limiter.hpp
+++ b/include/cardamompost/limits/cp_request_limiter.hpp
@@ -75,14 +75,14 @@
     void setLimits(const std::vector<Account> &accounts, TimePoint now);
     //! Restores the usage that the previous leader reported.
     //! \param nowMs  the current time on the clock of the usage log
-    void takeOver(const UsageLog &usage, std::int64_t nowMs, TimePoint now);
+    void restoreUsage(const UsageLog &usage, std::int64_t nowMs, TimePoint now);
     //! Takes the admissions since the last report, to be replicated.
     [[nodiscard]] std::vector<AccountUsage> takeReport(TimePoint now);
     //! Completes a report; one that was not stored is reported again.
     void endReport(const std::vector<AccountUsage> &report, bool isStored);
     [[nodiscard]] bool isReportDue(TimePoint now) const;
     //! True while the account's unreported usage is at the tolerance; its next requests must wait for the report.
-    [[nodiscard]] bool waitsForReport(const std::string &account) const;
+    [[nodiscard]] bool mustWaitForReport(const std::string &account) const;
     //! The limit in force; unbounded for an unknown account.
     [[nodiscard]] RequestLimit limitOf(const std::string &account) const
     {
--- a/include/cardamompost/limits/cp_usage_log.hpp
+++ b/include/cardamompost/limits/cp_usage_log.hpp
@@ -30,7 +30,7 @@
     };
     using Items = std::map<std::string, std::deque<Item>>;
 
-    //! Adds a report and drops items older than keepMs.
+    //! Adds a report and drops items older than retentionMs.
     void add(std::int64_t nowMs, const std::vector<AccountUsage> &report)
     {
         for (const AccountUsage &usage : report) {
@@ -38,7 +38,7 @@
         }
         for (auto item = items_.begin(); item != items_.end();) {
             std::deque<Item> &times = item->second;
-            while (!times.empty() && times.front().atMs < nowMs - keepMs) {
+            while (!times.empty() && times.front().atMs < nowMs - retentionMs) {
                 times.pop_front();
             }
             item = times.empty() ? items_.erase(item) : std::next(item);
@@ -55,7 +55,7 @@
     }
 
     // Must exceed the longest limit window.
-    static constexpr std::int64_t keepMs = 15'000;
+    static constexpr std::int64_t retentionMs = 15'000;
 
 private:
     Items items_;
--- a/include/cardamompost/liveness/cp_silence_detector.hpp
+++ b/include/cardamompost/liveness/cp_failure_detector.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_CP_SILENCE_DETECTOR_HPP_INCLUDED
-#define CARDAMOMPOST_CP_SILENCE_DETECTOR_HPP_INCLUDED
+#ifndef CARDAMOMPOST_CP_FAILURE_DETECTOR_HPP_INCLUDED
+#define CARDAMOMPOST_CP_FAILURE_DETECTOR_HPP_INCLUDED
 
 #include <cardamompost/core/cp_time.hpp>
 
@@ -19,10 +19,10 @@
 //! The suspicion timeout is a multiple of the longest observed gap between two contacts, which decays over time. The
 //! longest gap is used instead of the mean, since CPU throttling and packet retransmissions cause rare but long gaps.
 //! Thread-safety: none. Time is an argument.
-class SilenceDetector
+class FailureDetector
 {
 public:
-    explicit SilenceDetector(SuspicionBounds bounds)
+    explicit FailureDetector(SuspicionBounds bounds)
         : bounds_(bounds)
     {
     }
@@ -43,4 +43,4 @@
 
 } // namespace cardamompost
 
-#endif // CARDAMOMPOST_CP_SILENCE_DETECTOR_HPP_INCLUDED
+#endif // CARDAMOMPOST_CP_FAILURE_DETECTOR_HPP_INCLUDED
--- a/include/cardamompost/net/cp_api_message.hpp
+++ b/include/cardamompost/net/cp_api_message.hpp
@@ -26,7 +26,7 @@
 };
 
 //! Format of the response.
-enum class ApiForm : std::uint8_t {
+enum class ApiFormat : std::uint8_t {
     Native,
     //! The response format of the OpenAI chat completions API.
     ChatCompletion,
@@ -42,7 +42,7 @@
     //! Id of the last event that the caller has received.
     std::uint64_t lastEventId = 0;
     bool isStream = false;
-    ApiForm form = ApiForm::Native;
+    ApiFormat format = ApiFormat::Native;
     //! For a single call: the requested work class; empty selects the first class that the caller may use.
     std::string workClass;
     //! Set when the entry refuses the request: the owner stores the refusal under the idempotency key, unless a
--- a/include/cardamompost/observe/cp_log_explainer.hpp
+++ b/include/cardamompost/observe/cp_log_explainer.hpp
@@ -24,7 +24,7 @@
     //! Lines of all processes that name the request, ordered by time.
     std::vector<ExplainedLine> lines;
     //! State changes of all processes around the end of the request, ordered by time.
-    std::vector<ExplainedLine> surroundings;
+    std::vector<ExplainedLine> contextLines;
     //! One sentence.
     std::string cause;
     //! Logs that are needed for a complete explanation; empty when none are missing.
--- a/include/cardamompost/policy/cp_turn_placement.hpp
+++ b/include/cardamompost/policy/cp_turn_placement.hpp
@@ -15,8 +15,8 @@
 namespace cardamompost
 {
 
-//! A turn that waits for an engine slot.
-struct TurnToPlace {
+//! Requests an engine slot for a turn.
+struct SlotRequest {
     //! Request id; a repeated request with the same id gets the same slot.
     std::string turn;
     std::string program;
@@ -52,7 +52,7 @@
     //! Replaces the engines; draining engines receive no new turns.
     void setServers(const std::vector<BackendServer> &servers, TimePoint now);
     //! Requests a slot. The callback runs immediately, or later from release(), setServers(), tick() or clear().
-    void request(TurnToPlace turn, TimePoint now, PlacementCallback callback);
+    void request(SlotRequest request, TimePoint now, PlacementCallback callback);
     //! Releases the turn's slot or removes it from the queue.
     void release(const std::string &turn, TimePoint now);
     //! Records on a follower the engine that ran a program's last turn, as replicated in the log.
@@ -97,7 +97,7 @@
         }
     };
     struct WaitingTurn {
-        TurnToPlace turn;
+        SlotRequest request;
         TimePoint queuedAt;
         PlacementCallback callback;
     };
@@ -107,10 +107,10 @@
     };
     using Queue = std::map<QueueKey, WaitingTurn>;
 
-    [[nodiscard]] std::optional<std::string> choose(const TurnToPlace &turn, TimePoint now, bool mayOverload);
-    [[nodiscard]] static double cost(const Engine &engine, const TurnToPlace &turn);
+    [[nodiscard]] std::optional<std::string> choose(const SlotRequest &request, TimePoint now, bool mayOverload);
+    [[nodiscard]] static double cost(const Engine &engine, const SlotRequest &request);
     //! Null if the program has no usable affinity.
-    [[nodiscard]] const std::string *affinityEngine(const TurnToPlace &turn, TimePoint now) const;
+    [[nodiscard]] const std::string *affinityEngine(const SlotRequest &request, TimePoint now) const;
     void setAffinity(const std::string &program, const std::string &engine, TimePoint now);
     void removeAffinity(const Affinity &affinity);
     void countPrograms();
@@ -118,7 +118,7 @@
     void resetEngine(const std::string &id);
     [[nodiscard]] bool hasService(const std::string &service) const;
     [[nodiscard]] bool hasUsableEngine(const std::string &service, TimePoint now) const;
-    void reserveSlot(const TurnToPlace &turn, const std::string &engine, TimePoint now);
+    void reserveSlot(const SlotRequest &request, const std::string &engine, TimePoint now);
     void placeWaitingTurns(TimePoint now);
     void expireReservations(TimePoint now);
     void expireAffinities(TimePoint now);
--- a/include/cardamompost/program/cp_program.hpp
+++ b/include/cardamompost/program/cp_program.hpp
@@ -83,9 +83,9 @@
         return attainedTokens_;
     }
     //! Replicas that may hold resources of the program and have not confirmed their release.
-    [[nodiscard]] const std::set<std::string> &heldBackends() const
+    [[nodiscard]] const std::set<std::string> &unreleasedBackends() const
     {
-        return heldBackends_;
+        return unreleasedBackends_;
     }
     //! The replica of the last attempt; empty before the first attempt.
     [[nodiscard]] const std::string &lastBackend() const
@@ -127,7 +127,7 @@
     std::vector<std::string> refusalOrder_;
     std::int64_t historyTokens_ = 0;
     std::int64_t attainedTokens_ = 0;
-    std::set<std::string> heldBackends_;
+    std::set<std::string> unreleasedBackends_;
     std::string lastBackend_;
     std::vector<LogIndex> indexes_;
     std::size_t textBytes_ = 0;
--- a/include/cardamompost/routing/cp_content_buckets.hpp
+++ b/include/cardamompost/routing/cp_content_buckets.hpp
@@ -23,7 +23,7 @@
 struct ContentDelta {
     std::vector<ContentBucket> buckets;
     //! Number of differing buckets left for later deltas.
-    std::uint32_t rest = 0;
+    std::uint32_t remainingBuckets = 0;
     //! Checksum of the whole content of the sender.
     std::uint64_t checksum = 0;
 };
@@ -98,7 +98,7 @@
         return bytes_.deltaFrom(held, maxDeltaBytes);
     }
     //! Replaces the given buckets. Errors: InvalidRequest, leaving the content unchanged.
-    Result<void> take(std::vector<ContentBucket> buckets)
+    Result<void> replaceBuckets(std::vector<ContentBucket> buckets)
     {
         Content checked;
         for (const ContentBucket &bucket : buckets) {
@@ -117,7 +117,7 @@
     {
         Content content;
         for (const std::string &bytes : bytes_.bytes()) {
-            // Never fails: each bucket was encoded by set() or checked by take().
+            // Never fails: each bucket was encoded by set() or checked by replaceBuckets().
             static_cast<void>(Codec::decode(bytes, content));
         }
         return content;
--- a/src/cardamompost/config/cp_configuration.cpp
+++ b/src/cardamompost/config/cp_configuration.cpp
@@ -62,7 +62,7 @@
 {
 public:
     explicit ConfigurationReader(const IniDocument &document)
-        : faults_(document.faults())
+        : errors_(document.errors())
     {
         for (const IniSection &section : document.sections()) {
             readSection(section);
@@ -73,30 +73,30 @@
 
     Configuration::ParseResult take()
     {
-        std::stable_sort(faults_.begin(), faults_.end(), [](const auto &a, const auto &b) { return a.line < b.line; });
-        return {std::move(out_), std::move(faults_)};
+        std::stable_sort(errors_.begin(), errors_.end(), [](const auto &a, const auto &b) { return a.line < b.line; });
+        return {std::move(out_), std::move(errors_)};
     }
 
 private:
     void readSection(const IniSection &section)
     {
         if (!configurationKeys().contains(section.kind)) {
-            faults_.push_back(
+            errors_.push_back(
                 {section.line, section.header(), {}, fmt::format("'{}' is not a kind of section", section.kind)});
             return;
         }
         if (!isName(section.name)) {
-            faults_.push_back({section.line,
+            errors_.push_back({section.line,
                                section.header(),
                                {},
                                "the section needs a name of at most 64 letters, digits, '-', '_', '.' and '/'"});
             return;
         }
         if (!headers_.insert(section.header()).second) {
-            faults_.push_back({section.line, section.header(), {}, "duplicate section"});
+            errors_.push_back({section.line, section.header(), {}, "duplicate section"});
             return;
         }
-        SectionReader reader(section, faults_);
+        SectionReader reader(section, errors_);
         readKind(section, reader);
         reader.finish();
     }
@@ -139,7 +139,7 @@
         deployment.placementPolicy = readChoice(reader, "placement_policy", defaultPlacementPolicy,
                                                 PolicyRegistry::instance().placementPolicyNames());
         if (deployment.classes.empty()) {
-            reader.fault("classes", "at least one class is required");
+            reader.addError("classes", "at least one class is required");
         }
         out_.deployments_.emplace(name, std::move(deployment));
     }
@@ -163,11 +163,11 @@
             if (const auto address = parseAddress(item)) {
                 service.addresses.push_back(*address);
             } else {
-                reader.fault("addresses", fmt::format("'{}' is not an IP address with a port", item));
+                reader.addError("addresses", fmt::format("'{}' is not an IP address with a port", item));
             }
         }
         if (service.addresses.empty()) {
-            reader.fault("addresses", "at least one address is required");
+            reader.addError("addresses", "at least one address is required");
         }
         out_.services_.emplace(name, std::move(service));
     }
@@ -192,7 +192,7 @@
     {
         std::string value = reader.text(key, fallback);
         if (std::find(known.begin(), known.end(), value) == known.end()) {
-            reader.fault(key, fmt::format("'{}' is not one of: {}", value, fmt::join(known, ", ")));
+            reader.addError(key, fmt::format("'{}' is not one of: {}", value, fmt::join(known, ", ")));
         }
         return value;
     }
@@ -204,9 +204,9 @@
             return hash;
         }
         if (!isKeyHash(hash)) {
-            reader.fault("key_sha256", "expected 64 lower-case hexadecimal digits");
+            reader.addError("key_sha256", "expected 64 lower-case hexadecimal digits");
         } else if (!keyHashes_.insert(hash).second) {
-            reader.fault("key_sha256", "another account has the same key");
+            reader.addError("key_sha256", "another account has the same key");
         }
         return hash;
     }
@@ -240,14 +240,14 @@
         }
         for (const std::string &name : splitList(entry->value)) {
             if (!known.contains(name)) {
-                faults_.push_back(
+                errors_.push_back(
                     {entry->line, section.header(), entry->key, fmt::format("'{}' is not declared", name)});
             }
         }
     }
 
     Configuration out_;
-    std::vector<ConfigFault> faults_;
+    std::vector<ConfigError> errors_;
     std::vector<Replica> replicas_;
     std::set<std::string> headers_;
     std::set<std::string> keyHashes_;
--- a/src/cardamompost/config/cp_ini_document.cpp
+++ b/src/cardamompost/config/cp_ini_document.cpp
@@ -13,7 +13,7 @@
 
 // Limits the memory that a hostile document can take.
 constexpr std::size_t maxDocumentBytes = 16U << 20U;
-constexpr std::size_t maxFaults = 1000;
+constexpr std::size_t maxErrors = 1000;
 
 std::string_view trim(std::string_view text)
 {
@@ -91,7 +91,7 @@
     return true;
 }
 
-std::string ConfigFault::toString() const
+std::string ConfigError::toString() const
 {
     std::string text;
     if (line != 0) {
@@ -122,12 +122,12 @@
 {
     IniDocument document;
     if (text.size() > maxDocumentBytes) {
-        document.addFault(0, {},
+        document.addError(0, {},
                           fmt::format("the document has {} bytes; the limit is {}", text.size(), maxDocumentBytes));
         return document;
     }
     std::size_t number = 0;
-    while (!text.empty() && document.faults_.size() < maxFaults) {
+    while (!text.empty() && document.errors_.size() < maxErrors) {
         const auto end = text.find('\n');
         document.parseLine(text.substr(0, end), ++number);
         text = end == std::string_view::npos ? std::string_view {} : text.substr(end + 1);
@@ -141,7 +141,7 @@
 void IniDocument::parseLine(std::string_view line, std::size_t number)
 {
     if (!isCleanUtf8(line)) {
-        addFault(number, {}, "the line is not valid UTF-8 text");
+        addError(number, {}, "the line is not valid UTF-8 text");
         return;
     }
     const std::string_view content = trim(line);
@@ -154,7 +154,7 @@
         return;
     }
     if (content.back() != ']') {
-        addFault(number, {}, "the section has no closing bracket");
+        addError(number, {}, "the section has no closing bracket");
         return;
     }
     openSection(trim(content.substr(1, content.size() - 2)), number);
@@ -173,7 +173,7 @@
     const bool isEmpty = section.kind.empty();
     sections_.push_back(std::move(section));
     if (isEmpty) {
-        addFault(number, {}, "the section has no kind");
+        addError(number, {}, "the section has no kind");
     }
 }
 
@@ -181,21 +181,21 @@
 {
     const auto equals = line.find('=');
     if (equals == std::string_view::npos) {
-        addFault(number, {}, "expected 'key = value'");
+        addError(number, {}, "expected 'key = value'");
         return;
     }
     IniEntry entry {std::string(trim(line.substr(0, equals))), std::string(trim(line.substr(equals + 1))), number};
     if (entry.key.empty()) {
-        addFault(number, {}, "the key before '=' is missing");
+        addError(number, {}, "the key before '=' is missing");
         return;
     }
     if (sections_.empty()) {
-        addFault(number, entry.key, "the key is outside of any section");
+        addError(number, entry.key, "the key is outside of any section");
         return;
     }
     IniSection &section = sections_.back();
     if (section.find(entry.key) != nullptr) {
-        addFault(number, entry.key, "duplicate key");
+        addError(number, entry.key, "duplicate key");
         return;
     }
     section.text += pendingComments_ + fmt::format("{} = {}\n", entry.key, entry.value);
@@ -203,9 +203,9 @@
     section.entries.push_back(std::move(entry));
 }
 
-void IniDocument::addFault(std::size_t line, std::string key, std::string message)
+void IniDocument::addError(std::size_t line, std::string key, std::string message)
 {
-    faults_.push_back(
+    errors_.push_back(
         {line, sections_.empty() ? std::string {} : sections_.back().header(), std::move(key), std::move(message)});
 }
 
--- a/src/cardamompost/config/cp_section_reader.cpp
+++ b/src/cardamompost/config/cp_section_reader.cpp
@@ -68,9 +68,9 @@
     return items;
 }
 
-SectionReader::SectionReader(const IniSection &section, std::vector<ConfigFault> &faults)
+SectionReader::SectionReader(const IniSection &section, std::vector<ConfigError> &errors)
     : section_(section)
-    , faults_(faults)
+    , errors_(errors)
 {
 }
 
@@ -90,7 +90,7 @@
 {
     std::string value = text(key);
     if (value.empty()) {
-        fault(key, "a value is required");
+        addError(key, "a value is required");
     }
     return value;
 }
@@ -103,7 +103,7 @@
     }
     const auto value = parseNumber<std::int64_t>(entry->value);
     if (!value || *value < min || *value > max) {
-        fault(key, fmt::format("'{}' is not a whole number from {} to {}", entry->value, min, max));
+        addError(key, fmt::format("'{}' is not a whole number from {} to {}", entry->value, min, max));
         return fallback;
     }
     return *value;
@@ -117,7 +117,7 @@
     }
     const auto value = parseNumber<double>(entry->value);
     if (!value || !(*value >= min && *value <= max)) {
-        fault(key, fmt::format("'{}' is not a number from {} to {}", entry->value, min, max));
+        addError(key, fmt::format("'{}' is not a number from {} to {}", entry->value, min, max));
         return fallback;
     }
     return *value;
@@ -130,7 +130,7 @@
         return fallback;
     }
     if (entry->value != "true" && entry->value != "false") {
-        fault(key, fmt::format("'{}' is neither true nor false", entry->value));
+        addError(key, fmt::format("'{}' is neither true nor false", entry->value));
     }
     return entry->value == "true";
 }
@@ -140,7 +140,7 @@
     const std::string value = requiredText(key);
     const auto parsed = parseAddress(value);
     if (!value.empty() && !parsed) {
-        fault(key, fmt::format("'{}' is not an IP address with a port", value));
+        addError(key, fmt::format("'{}' is not an IP address with a port", value));
     }
     return parsed.value_or(Address {});
 }
@@ -150,18 +150,18 @@
     return splitList(text(key));
 }
 
-void SectionReader::fault(std::string_view key, std::string message)
+void SectionReader::addError(std::string_view key, std::string message)
 {
     const IniEntry *entry = section_.find(key);
     const std::size_t line = entry == nullptr ? section_.line : entry->line;
-    faults_.push_back({line, section_.header(), std::string(key), std::move(message)});
+    errors_.push_back({line, section_.header(), std::string(key), std::move(message)});
 }
 
 void SectionReader::finish()
 {
     for (const IniEntry &entry : section_.entries) {
         if (!known_.contains(entry.key)) {
-            fault(entry.key, "unknown key in this section");
+            addError(entry.key, "unknown key in this section");
         }
     }
 }
--- a/src/cardamompost/config/cp_settings.cpp
+++ b/src/cardamompost/config/cp_settings.cpp
@@ -19,7 +19,7 @@
 
 void readVm(const IniSection &section, SettingsResult &result)
 {
-    SectionReader reader(section, result.faults);
+    SectionReader reader(section, result.errors);
     Settings &settings = result.settings;
     settings.vm = reader.requiredText("name");
     settings.failureDomain = reader.requiredText("failure_domain");
@@ -36,18 +36,18 @@
     settings.tlsAuthority = reader.text("tls_authority");
     if (settings.tlsCertificate.empty() != settings.tlsKey.empty()
         || settings.tlsKey.empty() != settings.tlsAuthority.empty()) {
-        reader.fault("tls_certificate", "'tls_certificate', 'tls_key' and 'tls_authority' must be given together");
+        reader.addError("tls_certificate", "'tls_certificate', 'tls_key' and 'tls_authority' must be given together");
     }
     settings.syncWrites = reader.boolean("sync_writes", true);
     if (settings.isKeeper && settings.dataFolder.empty()) {
-        reader.fault("data_folder", "a keeper needs a data folder");
+        reader.addError("data_folder", "a keeper needs a data folder");
     }
     reader.finish();
 }
 
 void readSystem(const IniSection &section, SettingsResult &result)
 {
-    SectionReader reader(section, result.faults);
+    SectionReader reader(section, result.errors);
     result.settings.partitions
         = static_cast<std::uint32_t>(reader.integer("partitions", defaultPartitions, 1, maxPartitions));
     result.settings.bootstrapKeyHash = reader.text("bootstrap_key_sha256");
@@ -56,10 +56,10 @@
 
 void readKeeper(const IniSection &section, SettingsResult &result)
 {
-    SectionReader reader(section, result.faults);
+    SectionReader reader(section, result.errors);
     KeeperPeer keeper {section.name, reader.address("peer"), reader.requiredText("failure_domain")};
     if (keeper.name.empty()) {
-        reader.fault("", "the section needs the keeper's VM name, as in [keeper vm-1]");
+        reader.addError("", "the section needs the keeper's VM name, as in [keeper vm-1]");
     }
     result.settings.keepers.push_back(std::move(keeper));
     reader.finish();
@@ -71,10 +71,10 @@
     const auto isSelf = [&](const KeeperPeer &keeper) { return keeper.name == settings.vm; };
     const bool isListed = std::any_of(settings.keepers.begin(), settings.keepers.end(), isSelf);
     if (settings.keepers.empty()) {
-        result.faults.push_back({0, "keeper", {}, "at least one [keeper NAME] section is required"});
+        result.errors.push_back({0, "keeper", {}, "at least one [keeper NAME] section is required"});
     }
     if (settings.isKeeper && !isListed && !settings.keepers.empty()) {
-        result.faults.push_back({0, "vm", "keeper", "this VM is a keeper but has no [keeper] section"});
+        result.errors.push_back({0, "vm", "keeper", "this VM is a keeper but has no [keeper] section"});
     }
 }
 
@@ -97,7 +97,7 @@
     SettingsResult result;
     result.settings.partitions = static_cast<std::uint32_t>(defaultPartitions);
     const IniDocument document = IniDocument::parse(text);
-    result.faults = document.faults();
+    result.errors = document.errors();
     bool hasVm = false;
     for (const IniSection &section : document.sections()) {
         if (section.kind == "vm") {
@@ -108,12 +108,12 @@
         } else if (section.kind == "keeper") {
             readKeeper(section, result);
         } else {
-            result.faults.push_back(
+            result.errors.push_back(
                 {section.line, section.header(), {}, fmt::format("'{}' is not a kind of section", section.kind)});
         }
     }
     if (!hasVm) {
-        result.faults.push_back({0, "vm", {}, "the section is missing"});
+        result.errors.push_back({0, "vm", {}, "the section is missing"});
     }
     checkSettings(result);
     return result;
--- a/src/cardamompost/consensus/cp_raft_node.cpp
+++ b/src/cardamompost/consensus/cp_raft_node.cpp
@@ -72,7 +72,7 @@
     // another VM could then destroy.
     for (const VmName &voter : next.voters) {
         const bool isNew = !membership().voters.contains(voter);
-        if (isNew && matchOf(voter) < commit_) {
+        if (isNew && matchIndexOf(voter) < commit_) {
             return makeError(ErrorKind::NotReady, "'" + voter + "' is not a learner that has caught up");
         }
     }
@@ -101,7 +101,7 @@
 
 void RaftNode::transferLeadership(const VmName &to)
 {
-    if (role_ == RaftRole::Leader && isVoter(to) && matchOf(to) == log_.lastIndex()) {
+    if (role_ == RaftRole::Leader && isVoter(to) && matchIndexOf(to) == log_.lastIndex()) {
         outbox_.push_back(makeMessage(RaftMessageType::TimeoutNow, to));
     }
 }
@@ -152,7 +152,7 @@
     }
 }
 
-LogIndex RaftNode::matchOf(const VmName &member) const
+LogIndex RaftNode::matchIndexOf(const VmName &member) const
 {
     if (member == options_.self) {
         return stableIndex_;
@@ -239,7 +239,7 @@
 {
     std::vector<LogIndex> matches;
     for (const VmName &voter : membership().voters) {
-        matches.push_back(matchOf(voter));
+        matches.push_back(matchIndexOf(voter));
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const LogIndex candidate = matches[membership().quorum() - 1];
--- a/src/cardamompost/consensus/cp_raft_replication.cpp
+++ b/src/cardamompost/consensus/cp_raft_replication.cpp
@@ -27,8 +27,8 @@
     case RaftMessageType::AppendReply:
         onAppendReply(message);
         break;
-    case RaftMessageType::SnapshotPiece:
-        onSnapshotPiece(message);
+    case RaftMessageType::SnapshotChunk:
+        onSnapshotChunk(message);
         break;
     case RaftMessageType::SnapshotReply:
         onSnapshotReply(message);
@@ -56,7 +56,7 @@
 void RaftNode::answerOldTerm(const RaftMessage &message)
 {
     // Sends the current term to a deposed leader or an outdated candidate, so that it steps down before its timeout.
-    if (message.type == RaftMessageType::Append || message.type == RaftMessageType::SnapshotPiece) {
+    if (message.type == RaftMessageType::Append || message.type == RaftMessageType::SnapshotChunk) {
         outbox_.push_back(makeMessage(RaftMessageType::AppendReply, message.from));
     } else if (message.type == RaftMessageType::PreVote) {
         outbox_.push_back(makeMessage(RaftMessageType::PreVoteReply, message.from));
@@ -75,7 +75,7 @@
     Progress &progress = progress_.at(to);
     const std::optional<Term> previousTerm = log_.termAt(progress.next - 1);
     if (!previousTerm) {
-        sendSnapshotPiece(to, progress);
+        sendSnapshotChunk(to, progress);
         return;
     }
     const bool isBlocked = progress.isProbing ? progress.probeSent : progress.inFlight >= options_.maxInFlight;
@@ -105,7 +105,7 @@
     outbox_.push_back(std::move(message));
 }
 
-void RaftNode::sendSnapshotPiece(const VmName &to, Progress &progress)
+void RaftNode::sendSnapshotChunk(const VmName &to, Progress &progress)
 {
     const RaftSnapshot &snapshot = log_.snapshot();
     if (progress.snapshotIndex != snapshot.index) {
@@ -113,7 +113,7 @@
         progress.snapshotOffset = 0;
         progress.snapshotSentAt = {};
     }
-    // Every proposal and read calls this, so a piece is not sent again while its reply is pending; after two heartbeat
+    // Every proposal and read calls this, so a chunk is not sent again while its reply is pending; after two heartbeat
     // intervals it is taken as lost.
     const bool isPending = progress.snapshotSentAt != TimePoint {}
         && progress.snapshotSentOffset == progress.snapshotOffset
@@ -123,12 +123,12 @@
     }
     progress.snapshotSentAt = now_;
     progress.snapshotSentOffset = progress.snapshotOffset;
-    RaftMessage message = makeMessage(RaftMessageType::SnapshotPiece, to);
+    RaftMessage message = makeMessage(RaftMessageType::SnapshotChunk, to);
     message.round = round_;
     message.offset = progress.snapshotOffset;
     message.snapshot = {snapshot.index, snapshot.term, snapshot.membership,
-                        snapshot.state.substr(message.offset, options_.snapshotPieceBytes)};
-    message.isLastPiece = message.offset + message.snapshot.state.size() >= snapshot.state.size();
+                        snapshot.state.substr(message.offset, options_.snapshotChunkBytes)};
+    message.isLastChunk = message.offset + message.snapshot.state.size() >= snapshot.state.size();
     outbox_.push_back(std::move(message));
 }
 
@@ -216,7 +216,7 @@
     progress.next = std::max(progress.match + 1, std::min(message.index + 1, log_.lastIndex() + 1));
 }
 
-void RaftNode::onSnapshotPiece(RaftMessage &message)
+void RaftNode::onSnapshotChunk(RaftMessage &message)
 {
     if (role_ != RaftRole::Follower || leader_ != message.from) {
         becomeFollower(message.term, message.from);
@@ -234,10 +234,10 @@
     if (incoming_.index != message.snapshot.index) {
         incoming_ = {message.snapshot.index, message.snapshot.term, message.snapshot.membership, {}};
     }
-    // A lost or duplicate piece has an unexpected offset; the reply requests the expected one.
+    // A lost or duplicate chunk has an unexpected offset; the reply requests the expected one.
     if (message.offset == incoming_.state.size()) {
         incoming_.state += message.snapshot.state;
-        reply.granted = message.isLastPiece;
+        reply.granted = message.isLastChunk;
     }
     reply.offset = incoming_.state.size();
     reply.index = message.snapshot.index;
--- a/src/cardamompost/journal/cp_journal_writer.cpp
+++ b/src/cardamompost/journal/cp_journal_writer.cpp
@@ -80,7 +80,7 @@
     return static_cast<std::size_t>(std::count_if(keepers_.begin(), keepers_.end(), isUpToDate));
 }
 
-LogIndex JournalWriter::matchOf(const VmName &keeper) const
+LogIndex JournalWriter::matchIndexOf(const VmName &keeper) const
 {
     const auto found = keepers_.find(keeper);
     return found == keepers_.end() ? 0 : found->second.matchIndex;
@@ -256,7 +256,7 @@
     return phase_ == JournalPhase::Open && std::all_of(keepers_.begin(), keepers_.end(), isCaughtUp);
 }
 
-void JournalWriter::invalidateMatch(const VmName &name)
+void JournalWriter::invalidateMatchIndex(const VmName &name)
 {
     const auto found = keepers_.find(name);
     if (found != keepers_.end()) {
--- a/src/cardamompost/ledger/cp_ledger_state.cpp
+++ b/src/cardamompost/ledger/cp_ledger_state.cpp
@@ -82,7 +82,7 @@
         return TurnBeginStatus::Granted;
     }
     const std::int64_t taken = pendingTokens + spent(begin.program) + reserved(begin.program);
-    return taken + begin.tokensAtMost <= begin.budget ? TurnBeginStatus::Granted : TurnBeginStatus::BudgetExhausted;
+    return taken + begin.maxTokens <= begin.budget ? TurnBeginStatus::Granted : TurnBeginStatus::BudgetExhausted;
 }
 
 TurnBeginStatus LedgerState::applyBegin(const TurnBegin &begin)
@@ -94,7 +94,7 @@
     Program &program = programs_[begin.program];
     touchProgram(program, begin.retentionMs);
     if (status == TurnBeginStatus::Granted) {
-        program.reservations.emplace(begin.turn, begin.tokensAtMost);
+        program.reservations.emplace(begin.turn, begin.maxTokens);
     }
     return status;
 }
@@ -109,12 +109,12 @@
             program.spent += finish.ending == TurnEnding::NotRun ? 0 : finish.tokens;
         }
     }
-    if (finish.ending == TurnEnding::Complete && finish.isKept) {
-        keepTurn(finish, index);
+    if (finish.ending == TurnEnding::Complete && finish.isRetained) {
+        retainTurn(finish, index);
     }
 }
 
-void LedgerState::keepTurn(const TurnFinish &finish, LogIndex index)
+void LedgerState::retainTurn(const TurnFinish &finish, LogIndex index)
 {
     const std::int64_t expiresMs = nowMs_ + finish.retentionMs + expiryMarginMs;
     const auto [turn, isNew] = turns_.try_emplace(finish.turn);
--- a/src/cardamompost/limits/cp_request_limiter.cpp
+++ b/src/cardamompost/limits/cp_request_limiter.cpp
@@ -140,7 +140,7 @@
     }
 }
 
-void RequestLimiter::takeOver(const UsageLog &usage, std::int64_t nowMs, TimePoint now)
+void RequestLimiter::restoreUsage(const UsageLog &usage, std::int64_t nowMs, TimePoint now)
 {
     for (auto &[name, state] : usages_) {
         state.recent = {};
@@ -149,9 +149,9 @@
         state.inReport = 0;
         const double capacity = bucketCapacity(state.limit);
         // Starts with full buckets before the oldest report, then replays the reports.
-        TimePoint at = now - Milliseconds(UsageLog::keepMs);
-        state.requests.reset(at - Milliseconds(UsageLog::keepMs));
-        state.programs.reset(at - Milliseconds(UsageLog::keepMs));
+        TimePoint at = now - Milliseconds(UsageLog::retentionMs);
+        state.requests.reset(at - Milliseconds(UsageLog::retentionMs));
+        state.programs.reset(at - Milliseconds(UsageLog::retentionMs));
         const auto items = usage.items().find(name);
         if (items == usage.items().end()) {
             continue;
@@ -217,7 +217,7 @@
     return !isReporting_ && (isReportUrgent_ || now - lastReport_ >= reportInterval);
 }
 
-bool RequestLimiter::waitsForReport(const std::string &account) const
+bool RequestLimiter::mustWaitForReport(const std::string &account) const
 {
     const auto usage = usages_.find(account);
     return usage != usages_.end()
--- a/src/cardamompost/liveness/cp_silence_detector.cpp
+++ b/src/cardamompost/liveness/cp_failure_detector.cpp
@@ -1,4 +1,4 @@
-#include <cardamompost/liveness/cp_silence_detector.hpp>
+#include <cardamompost/liveness/cp_failure_detector.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void SilenceDetector::observe(TimePoint now)
+void FailureDetector::observe(TimePoint now)
 {
     if (hasContact_) {
         const double gapMs = std::chrono::duration<double, std::milli>(now - lastContact_).count();
@@ -26,14 +26,14 @@
     lastContact_ = now;
 }
 
-void SilenceDetector::restart(TimePoint now)
+void FailureDetector::restart(TimePoint now)
 {
     longestGapMs_ = 0;
     hasContact_ = true;
     lastContact_ = now;
 }
 
-Milliseconds SilenceDetector::suspicionTimeout() const
+Milliseconds FailureDetector::suspicionTimeout() const
 {
     if (!hasContact_) {
         return bounds_.ceiling;
--- a/src/cardamompost/net/cp_frame_decoder.cpp
+++ b/src/cardamompost/net/cp_frame_decoder.cpp
@@ -34,7 +34,7 @@
     out.snapshot.membership = Membership::decode(fromText(in.getSnapshotMembership())).value_or(Membership {});
     out.snapshot.state = fromData(in.getSnapshotState());
     out.offset = in.getOffset();
-    out.isLastPiece = in.getIsLastPiece();
+    out.isLastChunk = in.getIsLastPiece();
     return out;
 }
 
@@ -67,7 +67,7 @@
     out.idempotencyKey = fromText(in.getIdempotencyKey());
     out.lastEventId = in.getLastEventId();
     out.isStream = in.getIsStream();
-    out.form = decodeEnum(in.getForm(), ApiForm::ChatCompletion);
+    out.format = decodeEnum(in.getForm(), ApiFormat::ChatCompletion);
     out.workClass = fromText(in.getWorkClass());
     if (const auto kind = errorKindFromName(fromText(in.getRefusalKind()))) {
         out.refusal = makeError(*kind, fromText(in.getRefusalMessage()));
--- a/src/cardamompost/net/cp_frame_encoder.cpp
+++ b/src/cardamompost/net/cp_frame_encoder.cpp
@@ -44,7 +44,7 @@
         message.setSnapshotMembership(toText(in.snapshot.membership.encode()));
         message.setSnapshotState(toData(in.snapshot.state));
         message.setOffset(in.offset);
-        message.setIsLastPiece(in.isLastPiece);
+        message.setIsLastPiece(in.isLastChunk);
     }
 
     void operator()(const SealRequest &in)
@@ -225,7 +225,7 @@
         message.setIdempotencyKey(toText(in.idempotencyKey));
         message.setLastEventId(in.lastEventId);
         message.setIsStream(in.isStream);
-        message.setForm(static_cast<std::uint8_t>(in.form));
+        message.setForm(static_cast<std::uint8_t>(in.format));
         message.setWorkClass(toText(in.workClass));
         if (in.refusal) {
             message.setRefusalKind(std::string(answerFor(in.refusal->kind).name).c_str());
--- a/src/cardamompost/net/cp_ledger_schema.cpp
+++ b/src/cardamompost/net/cp_ledger_schema.cpp
@@ -35,7 +35,7 @@
 
 void encodeDelta(const ContentDelta &in, schema::ContentDelta::Builder out)
 {
-    out.setRest(in.rest);
+    out.setRest(in.remainingBuckets);
     out.setChecksum(in.checksum);
     auto buckets = out.initBuckets(static_cast<unsigned>(in.buckets.size()));
     for (unsigned i = 0; i < buckets.size(); ++i) {
@@ -76,7 +76,7 @@
     out.setTurn(toText(in.turn));
     out.setProgram(toText(in.program));
     out.setPrevious(toText(in.previous));
-    out.setTokensAtMost(in.tokensAtMost);
+    out.setTokensAtMost(in.maxTokens);
     out.setBudget(in.budget);
     out.setRetentionMs(in.retentionMs);
     if (!in.account.empty()) {
@@ -108,7 +108,7 @@
     out.setEnding(static_cast<std::uint8_t>(in.ending));
     out.setTokens(in.tokens);
     out.setRetentionMs(in.retentionMs);
-    out.setIsKept(in.isKept);
+    out.setIsKept(in.isRetained);
     out.setInput(toData(in.input));
     out.setOutput(toData(in.output));
     out.setBackend(toText(in.backend));
@@ -117,9 +117,9 @@
 TurnFinish decodeTurnFinish(schema::TurnFinish::Reader in)
 {
     // An unknown ending, from a newer release, is charged as a broken turn.
-    const auto ending = in.getEnding() <= static_cast<std::uint8_t>(TurnEnding::Broken)
+    const auto ending = in.getEnding() <= static_cast<std::uint8_t>(TurnEnding::Interrupted)
         ? static_cast<TurnEnding>(in.getEnding())
-        : TurnEnding::Broken;
+        : TurnEnding::Interrupted;
     return {fromText(in.getTurn()),
             fromText(in.getProgram()),
             fromText(in.getPrevious()),
--- a/src/cardamompost/observe/cp_log_explainer.cpp
+++ b/src/cardamompost/observe/cp_log_explainer.cpp
@@ -179,9 +179,9 @@
 }
 
 //! Suffix for the cause when the request's VM stalled around its end; empty otherwise.
-std::string stallSuffix(const std::string &vm, const std::vector<ExplainedLine> &surroundings)
+std::string stallSuffix(const std::string &vm, const std::vector<ExplainedLine> &contextLines)
 {
-    for (const ExplainedLine &line : surroundings) {
+    for (const ExplainedLine &line : contextLines) {
         if (line.event == "process.stalled" && line.vm == vm) {
             return fmt::format("; '{}' had stood still for {} ms", vm, number(parseLine(line.text), "ms"));
         }
@@ -251,13 +251,13 @@
     const std::int64_t at = result.lines.back().timeMs;
     for (const ExplainedLine &line : lines_) {
         if (isStateEvent(line.event) && line.timeMs >= at - contextBeforeMs && line.timeMs <= at + contextAfterMs) {
-            result.surroundings.push_back(line);
+            result.contextLines.push_back(line);
         }
     }
-    std::stable_sort(result.surroundings.begin(), result.surroundings.end(), byTime);
+    std::stable_sort(result.contextLines.begin(), result.contextLines.end(), byTime);
     result.missing = missingLogs({end, refusal, limited});
     result.cause = causeOf({end, refusal, limited});
-    result.cause += stallSuffix(text(end, "vm"), result.surroundings);
+    result.cause += stallSuffix(text(end, "vm"), result.contextLines);
     return result;
 }
 
--- a/src/cardamompost/policy/cp_turn_placement.cpp
+++ b/src/cardamompost/policy/cp_turn_placement.cpp
@@ -93,47 +93,47 @@
     });
 }
 
-double TurnPlacement::cost(const Engine &engine, const TurnToPlace &turn)
+double TurnPlacement::cost(const Engine &engine, const SlotRequest &request)
 {
-    const bool isSameDomain = engine.failureDomain == turn.failureDomain;
+    const bool isSameDomain = engine.failureDomain == request.failureDomain;
     return engine.turns + engine.programs * affinityWeight + (isSameDomain ? 0 : crossDomainCost);
 }
 
-const std::string *TurnPlacement::affinityEngine(const TurnToPlace &turn, TimePoint now) const
+const std::string *TurnPlacement::affinityEngine(const SlotRequest &request, TimePoint now) const
 {
-    const auto affinity = affinities_.find(turn.program);
+    const auto affinity = affinities_.find(request.program);
     if (affinity == affinities_.end()) {
         return nullptr;
     }
     const auto engine = engines_.find(affinity->second.engine);
-    const bool isUsable = engine != engines_.end() && engine->second.isOpen && engine->second.service == turn.service
+    const bool isUsable = engine != engines_.end() && engine->second.isOpen && engine->second.service == request.service
         && now >= engine->second.avoidUntil;
     if (!isUsable) {
         return nullptr;
     }
     const double loadThreshold = engine->second.turns - maxAffinityImbalance * engine->second.slots;
     for (const auto &[id, other] : engines_) {
-        if (other.isOpen && other.service == turn.service && other.turns <= loadThreshold) {
+        if (other.isOpen && other.service == request.service && other.turns <= loadThreshold) {
             return nullptr;
         }
     }
     return &engine->first;
 }
 
-std::optional<std::string> TurnPlacement::choose(const TurnToPlace &turn, TimePoint now, bool mayOverload)
+std::optional<std::string> TurnPlacement::choose(const SlotRequest &request, TimePoint now, bool mayOverload)
 {
-    if (const std::string *affinity = affinityEngine(turn, now)) {
+    if (const std::string *affinity = affinityEngine(request, now)) {
         return *affinity;
     }
     double lowestCost = std::numeric_limits<double>::max();
     std::vector<const std::string *> best;
     // If every engine is being avoided, any of them may be used.
-    const bool includesAvoided = !hasUsableEngine(turn.service, now);
+    const bool includesAvoided = !hasUsableEngine(request.service, now);
     for (const auto &[id, engine] : engines_) {
-        const bool isUsable = engine.isOpen && engine.service == turn.service
+        const bool isUsable = engine.isOpen && engine.service == request.service
             && (includesAvoided || now >= engine.avoidUntil)
-            && (mayOverload || turn.isInProgress || engine.turns < engine.slots * newProgramLoadLimit);
-        const double engineCost = isUsable ? cost(engine, turn) : lowestCost;
+            && (mayOverload || request.isInProgress || engine.turns < engine.slots * newProgramLoadLimit);
+        const double engineCost = isUsable ? cost(engine, request) : lowestCost;
         if (!isUsable || engineCost > lowestCost) {
             continue;
         }
@@ -149,11 +149,11 @@
     return *best[random_() % best.size()];
 }
 
-void TurnPlacement::reserveSlot(const TurnToPlace &turn, const std::string &engine, TimePoint now)
+void TurnPlacement::reserveSlot(const SlotRequest &request, const std::string &engine, TimePoint now)
 {
     ++engines_[engine].turns;
-    reservations_[turn.turn] = {engine, now + turn.timeLeft + reservationMargin};
-    setAffinity(turn.program, engine, now);
+    reservations_[request.turn] = {engine, now + request.timeLeft + reservationMargin};
+    setAffinity(request.program, engine, now);
 }
 
 void TurnPlacement::recordLastEngine(const std::string &program, const std::string &engine, TimePoint now)
@@ -182,35 +182,35 @@
     }
 }
 
-void TurnPlacement::request(TurnToPlace turn, TimePoint now, PlacementCallback callback)
+void TurnPlacement::request(SlotRequest request, TimePoint now, PlacementCallback callback)
 {
-    if (const auto reservation = reservations_.find(turn.turn); reservation != reservations_.end()) {
+    if (const auto reservation = reservations_.find(request.turn); reservation != reservations_.end()) {
         const std::string engine = reservation->second.engine;
         callback(engine);
         return;
     }
-    if (const auto queued = queueKeys_.find(turn.turn); queued != queueKeys_.end()) {
+    if (const auto queued = queueKeys_.find(request.turn); queued != queueKeys_.end()) {
         // A retried request keeps its position in the queue.
         queues_[queued->second.first].at(queued->second.second).callback = std::move(callback);
         return;
     }
-    if (!hasService(turn.service)) {
+    if (!hasService(request.service)) {
         // A new leader may not have the engine list yet, but knows the affinities from the log. The entry falls back to
         // its own choice if that engine is gone.
-        const auto affinity = affinities_.find(turn.program);
+        const auto affinity = affinities_.find(request.program);
         const std::string engine = affinity == affinities_.end() ? std::string() : affinity->second.engine;
         if (!engine.empty()) {
-            reserveSlot(turn, engine, now);
+            reserveSlot(request, engine, now);
         }
         callback(engine);
         return;
     }
     // Every turn is queued first, so that it cannot overtake waiting turns that rank before it.
-    const unsigned group = turn.isLate ? groupLate : turn.isInProgress ? groupInProgress : groupNew;
-    const QueueKey key {group, turn.rank, nextSequence_++};
-    queueKeys_.emplace(turn.turn, std::pair(turn.service, key));
-    Queue &queue = queues_[turn.service];
-    queue.emplace(key, WaitingTurn {std::move(turn), now, std::move(callback)});
+    const unsigned group = request.isLate ? groupLate : request.isInProgress ? groupInProgress : groupNew;
+    const QueueKey key {group, request.rank, nextSequence_++};
+    queueKeys_.emplace(request.turn, std::pair(request.service, key));
+    Queue &queue = queues_[request.service];
+    queue.emplace(key, WaitingTurn {std::move(request), now, std::move(callback)});
     placeWaitingTurns(now);
 }
 
@@ -225,14 +225,14 @@
                 continue;
             }
             const auto first = queue.begin();
-            const std::optional<std::string> engine = choose(first->second.turn, now, false);
+            const std::optional<std::string> engine = choose(first->second.request, now, false);
             if (!engine) {
                 continue;
             }
             const WaitingTurn next = std::move(first->second);
             queue.erase(first);
-            queueKeys_.erase(next.turn.turn);
-            reserveSlot(next.turn, *engine, now);
+            queueKeys_.erase(next.request.turn);
+            reserveSlot(next.request, *engine, now);
             next.callback(*engine);
             madeProgress = true;
             break;
@@ -305,15 +305,15 @@
                 ++item;
                 continue;
             }
-            queueKeys_.erase(item->second.turn.turn);
+            queueKeys_.erase(item->second.request.turn);
             expired.push_back(std::move(item->second));
             item = queue.erase(item);
         }
     }
     for (const WaitingTurn &waiting : expired) {
-        const std::optional<std::string> engine = choose(waiting.turn, now, true);
+        const std::optional<std::string> engine = choose(waiting.request, now, true);
         if (engine) {
-            reserveSlot(waiting.turn, *engine, now);
+            reserveSlot(waiting.request, *engine, now);
         }
         waiting.callback(engine.value_or(std::string()));
     }
--- a/src/cardamompost/program/cp_journal_record.cpp
+++ b/src/cardamompost/program/cp_journal_record.cpp
@@ -47,8 +47,8 @@
         intent.setBackend(toText(in.backend));
         intent.setDeadlineMs(in.deadlineMs);
         intent.setRootAttempt(in.rootAttempt);
-        intent.setKeptTokens(in.keptTokens);
-        intent.setKeptText(toData(in.keptText));
+        intent.setKeptTokens(in.priorTokens);
+        intent.setKeptText(toData(in.priorText));
     }
 
     void operator()(const CallResult &in)
--- a/src/cardamompost/program/cp_program.cpp
+++ b/src/cardamompost/program/cp_program.cpp
@@ -58,7 +58,7 @@
         hasEnded_ = true;
         endReason_ = ended->reason;
     } else if (const auto *released = std::get_if<BackendReleased>(&record.body)) {
-        heldBackends_.erase(released->backend);
+        unreleasedBackends_.erase(released->backend);
     }
 }
 
@@ -90,7 +90,7 @@
     checkInvariant(isValid, "an intent is valid in the state of its call");
     call.attempts.push_back(intent);
     if (call.accepted.kind == CallKind::Model) {
-        heldBackends_.insert(intent.backend);
+        unreleasedBackends_.insert(intent.backend);
         lastBackend_ = intent.backend;
     }
 }
--- a/src/cardamompost/routing/cp_content_buckets.cpp
+++ b/src/cardamompost/routing/cp_content_buckets.cpp
@@ -40,11 +40,11 @@
             continue;
         }
         const bool fits = delta.buckets.empty() || bytes + bytes_[i].size() <= maxDeltaBytes;
-        if (delta.rest == 0 && fits) {
+        if (delta.remainingBuckets == 0 && fits) {
             bytes += bytes_[i].size();
             delta.buckets.push_back({i, bytes_[i]});
         } else {
-            ++delta.rest;
+            ++delta.remainingBuckets;
         }
     }
     return delta;
--- a/src/cli/cp_command.cpp
+++ b/src/cli/cp_command.cpp
@@ -78,13 +78,14 @@
                                  : json::serialize(*value);
     };
     std::cerr << "cardamompost: " << text("kind") << ": " << text("message") << " (" << text("outcome") << ")\n";
-    if (const json::value *faults = details.if_contains("faults")) {
-        for (const json::value &fault : faults->as_array()) {
-            std::cerr << fmt::format("  line {}: [{}] {}: {}\n", fault.at("line").as_int64(),
-                                     fault.at("section").as_string().c_str(), fault.at("key").as_string().c_str(),
-                                     fault.at("message").as_string().c_str());
+    if (const json::value *errors = details.if_contains("faults")) {
+        for (const json::value &configError : errors->as_array()) {
+            std::cerr << fmt::format("  line {}: [{}] {}: {}\n", configError.at("line").as_int64(),
+                                     configError.at("section").as_string().c_str(),
+                                     configError.at("key").as_string().c_str(),
+                                     configError.at("message").as_string().c_str());
         }
-        return exitFaultyDocument;
+        return exitInvalidDocument;
     }
     if (details.contains("difference")) {
         std::cerr << "the current version is " << text("current_version") << "; changes in the submitted document:\n"
--- a/src/cli/cp_command.hpp
+++ b/src/cli/cp_command.hpp
@@ -16,7 +16,7 @@
     //! The system refused the request, or a call did not run.
     exitRefused = 1,
     exitUsage = 2,
-    exitFaultyDocument = 3,
+    exitInvalidDocument = 3,
     exitUnreachable = 4,
     //! A history or an answer did not match the expected one.
     exitCheckFailed = 5,
--- a/src/cli/cp_command_config.cpp
+++ b/src/cli/cp_command_config.cpp
@@ -22,22 +22,22 @@
 
 constexpr Milliseconds requestTimeout {10'000};
 
-int printFaults(const CommandContext &context, const std::string &file, const std::vector<ConfigFault> &faults)
+int printErrors(const CommandContext &context, const std::string &file, const std::vector<ConfigError> &errors)
 {
     if (context.isJson) {
         json::array list;
-        for (const ConfigFault &fault : faults) {
+        for (const ConfigError &error : errors) {
             list.push_back(json::object {
-                {"line", fault.line}, {"section", fault.section}, {"key", fault.key}, {"message", fault.message}});
+                {"line", error.line}, {"section", error.section}, {"key", error.key}, {"message", error.message}});
         }
         std::cout << json::serialize(json::object {{"faults", std::move(list)}}) << "\n";
     } else {
-        for (const ConfigFault &fault : faults) {
-            std::cerr << file << ": " << fault.toString() << "\n";
+        for (const ConfigError &error : errors) {
+            std::cerr << file << ": " << error.toString() << "\n";
         }
-        std::cout << (faults.empty() ? "no faults\n" : fmt::format("{} faults\n", faults.size()));
+        std::cout << (errors.empty() ? "no faults\n" : fmt::format("{} faults\n", errors.size()));
     }
-    return faults.empty() ? exitOk : exitFaultyDocument;
+    return errors.empty() ? exitOk : exitInvalidDocument;
 }
 
 int check(const CommandContext &context)
@@ -47,7 +47,7 @@
         reportError(text.error());
         return exitUsage;
     }
-    return printFaults(context, context.words.at(0), Configuration::parse(text.value()).faults);
+    return printErrors(context, context.words.at(0), Configuration::parse(text.value()).errors);
 }
 
 Result<ApiAnswer> fetchConfiguration(ApiClient &client)
@@ -107,9 +107,9 @@
         reportError(text.error());
         return exitUsage;
     }
-    const std::vector<ConfigFault> faults = Configuration::parse(text.value()).faults;
-    if (!faults.empty()) {
-        return printFaults(context, context.words.at(0), faults);
+    const std::vector<ConfigError> errors = Configuration::parse(text.value()).errors;
+    if (!errors.empty()) {
+        return printErrors(context, context.words.at(0), errors);
     }
     ApiClient client(context.entries, context.key);
     std::string base = context.values["base"].as<std::string>();
--- a/src/cli/cp_command_explain.cpp
+++ b/src/cli/cp_command_explain.cpp
@@ -41,7 +41,7 @@
     std::cout << "lines of the request:\n";
     show(explanation.lines);
     std::cout << "around its end:\n";
-    show(explanation.surroundings);
+    show(explanation.contextLines);
     std::cout << "cause: " << (explanation.cause.empty() ? "not known" : explanation.cause) << "\n";
     if (!explanation.missing.empty()) {
         std::cout << "missing: " << explanation.missing << "\n";
@@ -68,7 +68,7 @@
     const Explanation explanation = explainer.explain(context.words.front());
     if (context.isJson) {
         std::cout << boost::json::serialize(boost::json::object {{"lines", toJson(explanation.lines)},
-                                                                 {"surroundings", toJson(explanation.surroundings)},
+                                                                 {"surroundings", toJson(explanation.contextLines)},
                                                                  {"cause", explanation.cause},
                                                                  {"missing", explanation.missing}})
                   << "\n";
--- a/src/cli/cp_command_program.cpp
+++ b/src/cli/cp_command_program.cpp
@@ -302,11 +302,11 @@
         return exitUsage;
     }
     ProgramScriptResult parsed = parseProgramScript(text.value());
-    for (const ConfigFault &fault : parsed.faults) {
-        std::cerr << context.words.at(0) << ": " << fault.toString() << "\n";
+    for (const ConfigError &error : parsed.errors) {
+        std::cerr << context.words.at(0) << ": " << error.toString() << "\n";
     }
-    if (!parsed.faults.empty()) {
-        return exitFaultyDocument;
+    if (!parsed.errors.empty()) {
+        return exitInvalidDocument;
     }
     ScriptRunner runner(context, std::move(parsed.script));
     return runBlocking(runner.run());
--- a/src/cli/cp_program_script.cpp
+++ b/src/cli/cp_program_script.cpp
@@ -13,7 +13,7 @@
 
 void readProgram(const IniSection &section, ProgramScriptResult &result)
 {
-    SectionReader reader(section, result.faults);
+    SectionReader reader(section, result.errors);
     result.script.deployment = reader.requiredText("deployment");
     result.script.workClass = reader.requiredText("class");
     result.script.budgetTokens = reader.integer("budget_tokens", 0, 1, 1'000'000'000);
@@ -22,14 +22,14 @@
 
 void readTurn(const IniSection &section, ProgramScriptResult &result)
 {
-    SectionReader reader(section, result.faults);
+    SectionReader reader(section, result.errors);
     Turn turn;
     turn.name = section.name;
     const std::string kind = reader.requiredText("kind");
     if (const auto known = valueOf(turnKindNames, kind)) {
         turn.kind = *known;
     } else if (!kind.empty()) {
-        reader.fault("kind", "expected model, service, pause or agent");
+        reader.addError("kind", "expected model, service, pause or agent");
     }
     if (turn.kind == TurnKind::Model || turn.kind == TurnKind::Agent) {
         turn.content = reader.requiredText("content");
@@ -53,19 +53,19 @@
 {
     ProgramScriptResult result;
     const IniDocument document = IniDocument::parse(text);
-    result.faults = document.faults();
+    result.errors = document.errors();
     for (const IniSection &section : document.sections()) {
         if (section.kind == "program") {
             readProgram(section, result);
         } else if (section.kind == "turn") {
             readTurn(section, result);
         } else {
-            result.faults.push_back(
+            result.errors.push_back(
                 {section.line, section.header(), {}, fmt::format("'{}' is not a kind of section", section.kind)});
         }
     }
     if (result.script.turns.empty()) {
-        result.faults.push_back({0, {}, {}, "the script has no [turn NAME] section"});
+        result.errors.push_back({0, {}, {}, "the script has no [turn NAME] section"});
     }
     return result;
 }
--- a/src/cli/cp_program_script.hpp
+++ b/src/cli/cp_program_script.hpp
@@ -49,7 +49,7 @@
 
 struct ProgramScriptResult {
     ProgramScript script;
-    std::vector<ConfigFault> faults;
+    std::vector<ConfigError> errors;
 };
 
 [[nodiscard]] ProgramScriptResult parseProgramScript(std::string_view text);
--- a/src/daemon/cp_answer_writer.cpp
+++ b/src/daemon/cp_answer_writer.cpp
@@ -71,7 +71,7 @@
     ApiChunk chunk;
     chunk.status = statusOk;
     chunk.eventId = event.id;
-    if (context.form == ApiForm::Native) {
+    if (context.format == ApiFormat::Native) {
         chunk.body = formatSse(event.id, "tokens", json::serialize(json::object {{"text", event.text}}));
         return chunk;
     }
@@ -92,12 +92,12 @@
     chunk.isLast = true;
     if (const auto error = errorOf(result)) {
         chunk.status = answerFor(error->kind).status;
-        const bool isNative = context.form == ApiForm::Native;
+        const bool isNative = context.format == ApiFormat::Native;
         chunk.body = formatSse(0, isNative ? "error" : "", json::serialize(errorBody(*error)))
             + (isNative ? "" : "data: [DONE]\n\n");
         return chunk;
     }
-    if (context.form == ApiForm::Native) {
+    if (context.format == ApiFormat::Native) {
         chunk.body = formatSse(event.id, "done", json::serialize(nativeFinal(context, result)));
         return chunk;
     }
@@ -116,7 +116,7 @@
 {
     ApiChunk chunk;
     chunk.status = statusOk;
-    if (context.form == ApiForm::Native) {
+    if (context.format == ApiFormat::Native) {
         chunk.body = formatSse(0, "restart", "{}");
         return chunk;
     }
@@ -183,7 +183,7 @@
         return errorChunk(*error);
     }
     const json::object body
-        = context.form == ApiForm::Native ? nativeFinal(context, event.result) : chatFinal(context, event.result);
+        = context.format == ApiFormat::Native ? nativeFinal(context, event.result) : chatFinal(context, event.result);
     return jsonChunk(statusOk, body, event.result.outcome);
 }
 
--- a/src/daemon/cp_answer_writer.hpp
+++ b/src/daemon/cp_answer_writer.hpp
@@ -18,7 +18,7 @@
     CallKind kind = CallKind::Model;
     std::string model;
     std::int64_t createdMs = 0;
-    ApiForm form = ApiForm::Native;
+    ApiFormat format = ApiFormat::Native;
     bool isStream = false;
 };
 
--- a/src/daemon/cp_api_server.cpp
+++ b/src/daemon/cp_api_server.cpp
@@ -235,7 +235,7 @@
 asio::awaitable<void> ApiServer::forwardCall(ApiRequest request, IHttpResponder &responder)
 {
     const std::string caller = request.caller;
-    const Result<void> admitted = co_await parts_.gate.admit(caller);
+    const Result<void> admitted = co_await parts_.admission.admit(caller);
     if (!admitted && request.idempotencyKey.empty()) {
         co_await responder.respond(errorResponse(admitted.error()));
         co_return;
@@ -246,7 +246,7 @@
     }
     co_await forward(std::move(request), responder);
     if (admitted) {
-        parts_.gate.release(caller);
+        parts_.admission.release(caller);
     }
 }
 
@@ -367,7 +367,7 @@
     if (deployment == nullptr) {
         return makeError(ErrorKind::NotFound, "unknown model '" + model + "'");
     }
-    api.form = ApiForm::ChatCompletion;
+    api.format = ApiFormat::ChatCompletion;
     api.isStream = call.isStream;
     api.program = std::string(request.header("Cardamompost-Program"));
     if (!api.program.empty()) {
--- a/src/daemon/cp_api_server.hpp
+++ b/src/daemon/cp_api_server.hpp
@@ -19,7 +19,7 @@
         ControlReplica &replica;
         ControlClient &control;
         Router &router;
-        CallerGate &gate;
+        CallerAdmission &admission;
         PartitionTable &table;
         OperatorApi &operators;
         EventLog &log;
--- a/src/daemon/cp_call_runner.cpp
+++ b/src/daemon/cp_call_runner.cpp
@@ -287,7 +287,7 @@
 {
     bool isNeeded = false;
     parts_.table.withProgram(partition, epoch, program, [&](PartitionSlot &, OwnedProgram &owned) {
-        isNeeded = !owned.isReleasing && !owned.program.heldBackends().empty();
+        isNeeded = !owned.isReleasing && !owned.program.unreleasedBackends().empty();
         owned.isReleasing = owned.isReleasing || isNeeded;
     });
     if (isNeeded) {
@@ -299,15 +299,15 @@
 {
     Milliseconds pause = minReleaseBackoff;
     while (true) {
-        std::set<std::string> held;
+        std::set<std::string> unreleased;
         const bool isOwned
             = parts_.table.withProgram(partition, epoch, program, [&](PartitionSlot &, OwnedProgram &owned) {
-                  held = owned.program.heldBackends();
+                  unreleased = owned.program.unreleasedBackends();
               });
-        if (!isOwned || held.empty()) {
+        if (!isOwned || unreleased.empty()) {
             co_return;
         }
-        for (const std::string &name : held) {
+        for (const std::string &name : unreleased) {
             const std::optional<Replica> replica = parts_.dispatcher.findReplica(name);
             // A replica that is not in the configuration needs no release.
             bool isReleased = !replica;
--- a/src/daemon/cp_call_runner_model.cpp
+++ b/src/daemon/cp_call_runner_model.cpp
@@ -60,13 +60,13 @@
     for (const json::value &message : request.messages) {
         messages.push_back(message);
     }
-    if (!intent.keptText.empty()) {
-        messages.push_back(json::object {{"role", "assistant"}, {"content", intent.keptText}});
+    if (!intent.priorText.empty()) {
+        messages.push_back(json::object {{"role", "assistant"}, {"content", intent.priorText}});
         body["continue_final_message"] = true;
     }
     body["model"] = model;
     body["messages"] = std::move(messages);
-    body["max_tokens"] = request.maxTokens - static_cast<std::int64_t>(intent.keptTokens);
+    body["max_tokens"] = request.maxTokens - static_cast<std::int64_t>(intent.priorTokens);
     body["stream"] = true;
     body["stream_options"] = json::object {{"include_usage", true}};
     body["priority"] = task.rank;
@@ -128,18 +128,18 @@
         }
     }
     task.live->begin(intent.rootAttempt);
-    if (intent.keptTokens != 0) {
-        task.live->addTokens(intent.keptTokens, intent.keptText);
+    if (intent.priorTokens != 0) {
+        task.live->addTokens(intent.priorTokens, intent.priorText);
     }
     const EngineResult result = co_await streamAttempt(task, replica, intent, isNew);
-    const bool isAtFault = result.end == EngineEnd::NotSent || result.end == EngineEnd::Broken;
+    const bool isAtFault = result.end == EngineEnd::NotSent || result.end == EngineEnd::Interrupted;
     if (acquiredReplica) {
         parts_.dispatcher.release(*acquiredReplica, isAtFault);
     }
     RunResult runResult = resultOfAttempt(task, result, intent);
     // A request unknown to the engine may still arrive late; the cancellation makes the engine refuse it.
-    const bool mayBeOnEngine
-        = result.end == EngineEnd::Broken || result.end == EngineEnd::Stopped || result.end == EngineEnd::NotKnown;
+    const bool mayBeOnEngine = result.end == EngineEnd::Interrupted || result.end == EngineEnd::Stopped
+        || result.end == EngineEnd::UnknownAttempt;
     if (mayBeOnEngine) {
         asio::co_spawn(asio::make_strand(executor_),
                        cancelUntilConfirmed(replica, attemptId(task.program, intent), task.deadlineMs), asio::detached);
@@ -147,7 +147,7 @@
     const bool mayRetry
         = result.end != EngineEnd::Finished && result.end != EngineEnd::Stopped && task.attempts.size() < maxAttempts;
     shouldRetry = mayRetry && timeUntil(task.deadlineMs).count() > 0 && !task.live->isCancelled()
-        && (result.end == EngineEnd::NotKnown || tryRetry(task.created.deployment));
+        && (result.end == EngineEnd::UnknownAttempt || tryRetry(task.created.deployment));
     if (shouldRetry) {
         parts_.log.warn("call.retry",
                         {{"program", task.program},
@@ -162,7 +162,7 @@
 
 asio::awaitable<EngineResult> CallRunner::streamAttempt(Task &task, Replica replica, CallIntent intent, bool isNew)
 {
-    const std::uint64_t base = intent.keptTokens;
+    const std::uint64_t base = intent.priorTokens;
     const std::string attempt = attemptId(task.program, intent);
     const std::shared_ptr<LiveCall> live = task.live;
     const std::int64_t deadlineMs = task.deadlineMs;
@@ -188,17 +188,17 @@
     }
     // The engine continues to generate when a connection stalls or breaks; the rest of the answer is fetched over a new
     // connection.
-    for (int resumes = 0; result.end == EngineEnd::Broken && resumes < maxResumes && timeUntil(deadlineMs).count() > 0;
-         ++resumes) {
+    for (int resumes = 0;
+         result.end == EngineEnd::Interrupted && resumes < maxResumes && timeUntil(deadlineMs).count() > 0; ++resumes) {
         co_await sleepFor(resumeDelay);
         const std::uint64_t position = live->position();
         const std::uint64_t after = position > base ? position - base : 0;
         EngineClient::Watch watch = makeWatch();
         EngineResult resumed
             = co_await parts_.engines.resume(replica, attempt, after, timeUntil(deadlineMs), std::move(watch));
-        const bool isGone = resumed.end == EngineEnd::NotSent || resumed.end == EngineEnd::NotKnown;
+        const bool isGone = resumed.end == EngineEnd::NotSent || resumed.end == EngineEnd::UnknownAttempt;
         result = std::move(resumed);
-        result.end = isGone ? EngineEnd::Broken : result.end;
+        result.end = isGone ? EngineEnd::Interrupted : result.end;
         if (isGone) {
             break;
         }
@@ -216,7 +216,7 @@
         ran.outcome = Outcome::Ran;
         ran.answer = task.live->text();
         ran.isCutOff = result.finishReason == "length";
-        const auto kept = static_cast<std::int64_t>(intent.keptTokens);
+        const auto kept = static_cast<std::int64_t>(intent.priorTokens);
         ran.promptTokens = std::max<std::int64_t>(0, result.promptTokens - kept);
         ran.completionTokens = result.completionTokens + kept;
         ran.cachedTokens = std::min(result.cachedTokens, ran.promptTokens);
--- a/src/daemon/cp_call_service.cpp
+++ b/src/daemon/cp_call_service.cpp
@@ -39,13 +39,13 @@
 {
     body["attained_tokens"] = program.attainedTokens();
     body["last_backend"] = program.lastBackend();
-    body["held_backends"] = json::array(program.heldBackends().begin(), program.heldBackends().end());
+    body["held_backends"] = json::array(program.unreleasedBackends().begin(), program.unreleasedBackends().end());
     json::array calls;
     for (const auto &[sequence, call] : program.calls()) {
         json::array attempts;
         for (const CallIntent &attempt : call.attempts) {
             attempts.push_back(json::object {
-                {"attempt", attempt.attempt}, {"backend", attempt.backend}, {"kept_tokens", attempt.keptTokens}});
+                {"attempt", attempt.attempt}, {"backend", attempt.backend}, {"kept_tokens", attempt.priorTokens}});
         }
         json::object entry {{"sequence", sequence},
                             {"state", nameOf(callStateNames, call.machine.state())},
--- a/src/daemon/cp_call_submit.cpp
+++ b/src/daemon/cp_call_submit.cpp
@@ -51,9 +51,10 @@
     const Call &call = *owned.program.findCall(sequence);
     const Deployment *deployment = view->configuration.findDeployment(owned.program.created().deployment);
     FoundCall found;
-    found.context = {
-        owned.program.id(), sequence,     call.accepted.kind, deployment == nullptr ? std::string() : deployment->model,
-        call.acceptedMs,    request.form, request.isStream};
+    found.context = {owned.program.id(), sequence,
+                     call.accepted.kind, deployment == nullptr ? std::string() : deployment->model,
+                     call.acceptedMs,    request.format,
+                     request.isStream};
     found.epoch = slot.writer->epoch();
     // A LiveCall takes precedence over the stored result, since it finishes only after the result is committed.
     auto live = owned.live.find(sequence);
@@ -149,7 +150,7 @@
     accepted.kind = call.kind;
     accepted.isIdempotent = call.kind == CallKind::Model || call.isIdempotent;
     if (call.kind == CallKind::Model) {
-        if (request.form == ApiForm::ChatCompletion) {
+        if (request.format == ApiFormat::ChatCompletion) {
             call.messages = withoutHistory(call.messages, historyMessages(program, accepted.sequence));
         }
         const std::int64_t prompt
@@ -244,7 +245,7 @@
 {
     const PartitionId partition = parts_.table.partitionOf(request.program);
     std::string modelName;
-    const bool isChat = request.form == ApiForm::ChatCompletion;
+    const bool isChat = request.format == ApiFormat::ChatCompletion;
     const Result<CallRequest> call
         = isChat ? parseChatRequest(request.body, modelName) : parseCallRequest(request.body);
     if (!call) {
--- a/src/daemon/cp_caller_limits.cpp
+++ b/src/daemon/cp_caller_limits.cpp
@@ -74,12 +74,12 @@
     return reply;
 }
 
-CallerGate::CallerGate(Parts parts)
+CallerAdmission::CallerAdmission(Parts parts)
     : parts_(parts)
 {
 }
 
-Error CallerGate::overLimitError(const std::string &caller, std::string text, Milliseconds retryAfter)
+Error CallerAdmission::overLimitError(const std::string &caller, std::string text, Milliseconds retryAfter)
 {
     parts_.metrics.counter("cardamompost_limited_requests_total", {{"caller", caller}}).add();
     Error error = makeError(ErrorKind::OverLimit, std::move(text));
@@ -88,7 +88,7 @@
     return error;
 }
 
-bool CallerGate::tryTakeToken(const std::string &caller, TimePoint now)
+bool CallerAdmission::tryTakeToken(const std::string &caller, TimePoint now)
 {
     const std::lock_guard lock(mutex_);
     Allowance &allowance = allowances_[caller];
@@ -102,7 +102,7 @@
     return true;
 }
 
-asio::awaitable<Result<LimitReply>> CallerGate::requestTokens(LimitRequest request)
+asio::awaitable<Result<LimitReply>> CallerAdmission::requestTokens(LimitRequest request)
 {
     const auto view = parts_.replica.view();
     const VmName owner = view->state.partitions()[parts_.grantor.partitionOf(request.caller)].owner;
@@ -124,7 +124,7 @@
     co_return makeError(ErrorKind::Internal, "unexpected reply to a rate limit request");
 }
 
-asio::awaitable<Result<void>> CallerGate::admit(std::string caller)
+asio::awaitable<Result<void>> CallerAdmission::admit(std::string caller)
 {
     const TimePoint deadline = std::chrono::steady_clock::now() + admitTimeout;
     const auto view = parts_.replica.view();
@@ -168,7 +168,7 @@
     co_return overLimitError(caller, "the caller has exceeded its rate limit", retryAfter);
 }
 
-void CallerGate::release(const std::string &caller)
+void CallerAdmission::release(const std::string &caller)
 {
     const std::lock_guard lock(mutex_);
     --allowances_[caller].active;
--- a/src/daemon/cp_caller_limits.hpp
+++ b/src/daemon/cp_caller_limits.hpp
@@ -36,7 +36,7 @@
 
 //! Admission control of a VM: enforces each caller's rate, with tokens from the grantor, and its concurrency limit.
 //! Thread-safe.
-class CallerGate
+class CallerAdmission
 {
 public:
     struct Parts {
@@ -47,7 +47,7 @@
         MetricRegistry &metrics;
     };
 
-    explicit CallerGate(Parts parts);
+    explicit CallerAdmission(Parts parts);
 
     //! Admits a call, waiting briefly for tokens if needed. Errors: Forbidden for an undeclared caller; OverLimit with
     //! a retry delay.
--- a/src/daemon/cp_daemon.cpp
+++ b/src/daemon/cp_daemon.cpp
@@ -185,12 +185,13 @@
     sweeper_ = std::make_unique<HoldSweeper>(
         executor, HoldSweeper::Parts {settings_, replica_, *router_, engines_, log_, metrics_});
     grantor_ = std::make_unique<LimitGrantor>(replica_, *table_);
-    gate_ = std::make_unique<CallerGate>(CallerGate::Parts {settings_, replica_, *hub_, *grantor_, metrics_});
+    admission_
+        = std::make_unique<CallerAdmission>(CallerAdmission::Parts {settings_, replica_, *hub_, *grantor_, metrics_});
     operators_ = std::make_unique<OperatorApi>(
         OperatorApi::Parts {settings_, replica_, *control_, *table_, *dispatcher_, log_});
     api_ = std::make_unique<ApiServer>(
         executor,
-        ApiServer::Parts {settings_, replica_, *control_, *router_, *gate_, *table_, *operators_, log_, metrics_});
+        ApiServer::Parts {settings_, replica_, *control_, *router_, *admission_, *table_, *operators_, log_, metrics_});
     peers_ = std::make_unique<PeerServer>(executor, tls_, traffic_,
                                           [this](FrameBody body, Milliseconds, std::shared_ptr<PeerReplier> replier) {
                                               onPeerRequest(std::move(body), std::move(replier));
@@ -204,7 +205,7 @@
 
     replica_.subscribe([this](const std::shared_ptr<const ControlView> &view) {
         hub_->update(*view);
-        table_->follow(*view);
+        table_->reconcile(*view);
     });
     BOOST_OUTCOME_TRYV(peers_->listen(settings_.peer));
     BOOST_OUTCOME_TRYV(api_->start());
--- a/src/daemon/cp_daemon.hpp
+++ b/src/daemon/cp_daemon.hpp
@@ -62,7 +62,7 @@
     std::unique_ptr<Router> router_;
     std::unique_ptr<HoldSweeper> sweeper_;
     std::unique_ptr<LimitGrantor> grantor_;
-    std::unique_ptr<CallerGate> gate_;
+    std::unique_ptr<CallerAdmission> admission_;
     std::unique_ptr<OperatorApi> operators_;
     std::unique_ptr<ApiServer> api_;
     std::unique_ptr<PeerServer> peers_;
--- a/src/daemon/cp_engine_client.cpp
+++ b/src/daemon/cp_engine_client.cpp
@@ -145,10 +145,10 @@
         co_return result;
     }
     if (!answer) {
-        result.end = answer.error().outcome == Outcome::NotRun ? EngineEnd::NotSent : EngineEnd::Broken;
+        result.end = answer.error().outcome == Outcome::NotRun ? EngineEnd::NotSent : EngineEnd::Interrupted;
         result.message = answer.error().message;
     } else if (answer.value().status == statusNotFound) {
-        result.end = EngineEnd::NotKnown;
+        result.end = EngineEnd::UnknownAttempt;
     } else if (answer.value().status != statusOk) {
         result.end = EngineEnd::Refused;
         result.message = answer.value().body;
--- a/src/daemon/cp_engine_client.hpp
+++ b/src/daemon/cp_engine_client.hpp
@@ -18,15 +18,15 @@
     //! The engine rejected the attempt.
     Refused,
     //! The stream was interrupted or timed out; the engine may still be running the attempt.
-    Broken,
+    Interrupted,
     //! The engine doesn't know the attempt.
-    NotKnown,
+    UnknownAttempt,
     //! Ended by Watch::isWanted.
     Stopped,
 };
 
 struct EngineResult {
-    EngineEnd end = EngineEnd::Broken;
+    EngineEnd end = EngineEnd::Interrupted;
     std::string message;
     std::string finishReason;
     std::int64_t promptTokens = 0;
--- a/src/daemon/cp_operator_api.cpp
+++ b/src/daemon/cp_operator_api.cpp
@@ -46,16 +46,18 @@
                                                                                       : std::nullopt;
 }
 
-HttpResponse invalidConfigurationResponse(const std::vector<ConfigFault> &faults)
+HttpResponse invalidConfigurationResponse(const std::vector<ConfigError> &errors)
 {
     const Error error
         = makeError(ErrorKind::InvalidConfiguration,
-                    fmt::format("the document has {} errors; the configuration is unchanged", faults.size()));
+                    fmt::format("the document has {} errors; the configuration is unchanged", errors.size()));
     json::object body = errorBody(error);
     json::array list;
-    for (const ConfigFault &fault : faults) {
-        list.push_back(json::object {
-            {"line", fault.line}, {"section", fault.section}, {"key", fault.key}, {"message", fault.message}});
+    for (const ConfigError &configError : errors) {
+        list.push_back(json::object {{"line", configError.line},
+                                     {"section", configError.section},
+                                     {"key", configError.key},
+                                     {"message", configError.message}});
     }
     body["error"].as_object()["faults"] = std::move(list);
     HttpResponse response = jsonResponse(answerFor(error.kind).status, body);
@@ -195,8 +197,8 @@
         co_return errorResponse(makeError(ErrorKind::InvalidRequest, "the header 'If-Match: VERSION' is required"));
     }
     const Configuration::ParseResult parsed = Configuration::parse(request.body);
-    if (!parsed.faults.empty()) {
-        co_return invalidConfigurationResponse(parsed.faults);
+    if (!parsed.errors.empty()) {
+        co_return invalidConfigurationResponse(parsed.errors);
     }
     const Result<void> refreshed = co_await parts_.control.refresh(refreshTimeout);
     if (!refreshed) {
--- a/src/daemon/cp_partition_table.cpp
+++ b/src/daemon/cp_partition_table.cpp
@@ -117,7 +117,7 @@
     programs_ = programs;
 }
 
-void PartitionTable::follow(const ControlView &view)
+void PartitionTable::reconcile(const ControlView &view)
 {
     const VmRecord *own = view.state.findVm(parts_.settings.vm);
     const bool isKnown = own != nullptr && own->bootId == parts_.control.bootId();
@@ -136,7 +136,7 @@
             }
             for (const VmName &name : restarted) {
                 if (slot->writer) {
-                    slot->writer->invalidateMatch(name);
+                    slot->writer->invalidateMatchIndex(name);
                 }
             }
         }
--- a/src/daemon/cp_partition_table.hpp
+++ b/src/daemon/cp_partition_table.hpp
@@ -72,7 +72,7 @@
     void start(ReadyHandler handler);
     void stop();
     //! Opens and closes partitions according to the control state.
-    void follow(const ControlView &view);
+    void reconcile(const ControlView &view);
 
     //! Runs a function on a partition that accepts calls on this VM. Errors: NotOwner, and those of the function.
     //! \param function  takes a PartitionSlot& and returns a Result
--- a/src/daemon/cp_program_sweep.cpp
+++ b/src/daemon/cp_program_sweep.cpp
@@ -61,7 +61,7 @@
                               [&](const auto &live) { return owned.program.findCall(live.first)->isFinal(); });
             }
             const bool isExpired
-                = owned.program.hasEnded() && owned.program.heldBackends().empty() && idleMs > endedRetentionMs;
+                = owned.program.hasEnded() && owned.program.unreleasedBackends().empty() && idleMs > endedRetentionMs;
             if (isExpired && slot.writer->commitIndex() >= owned.program.indexes().back()) {
                 removedIndexes.insert(removedIndexes.end(), owned.program.indexes().begin(),
                                       owned.program.indexes().end());
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -29,10 +29,10 @@
     std::ostringstream text;
     text << input.rdbuf();
     cardamompost::SettingsResult parsed = cardamompost::parseSettings(text.str());
-    for (const cardamompost::ConfigFault &fault : parsed.faults) {
-        std::cerr << file << ": " << fault.toString() << "\n";
+    for (const cardamompost::ConfigError &error : parsed.errors) {
+        std::cerr << file << ": " << error.toString() << "\n";
     }
-    if (!parsed.faults.empty()) {
+    if (!parsed.errors.empty()) {
         return exitSettings;
     }
     cardamompost::Daemon daemon(std::move(parsed.settings));
--- a/src/gateway/cp_consensus_driver.cpp
+++ b/src/gateway/cp_consensus_driver.cpp
@@ -259,7 +259,7 @@
     const std::set<VmName> &learners = node_->membership().learners;
     return node_->role() == RaftRole::Leader
         && std::any_of(learners.begin(), learners.end(), [this](const VmName &learner) {
-               return node_->matchOf(learner) < node_->commitIndex() && silenceOf(learner) < silenceTimeout;
+               return node_->matchIndexOf(learner) < node_->commitIndex() && silenceOf(learner) < silenceTimeout;
            });
 }
 
@@ -348,14 +348,14 @@
     return boost::outcome_v2::success();
 }
 
-void ConsensusDriver::handOver()
+void ConsensusDriver::transferLeadership()
 {
     if (!isRunning() || node_->role() != RaftRole::Leader) {
         return;
     }
     VmName best;
     for (const VmName &voter : node_->membership().voters) {
-        const bool isOther = lastHeard_.contains(voter) && node_->matchOf(voter) == node_->log().lastIndex();
+        const bool isOther = lastHeard_.contains(voter) && node_->matchIndexOf(voter) == node_->log().lastIndex();
         if (isOther && (best.empty() || silenceOf(voter) < silenceOf(best))) {
             best = voter;
         }
--- a/src/gateway/cp_consensus_driver.hpp
+++ b/src/gateway/cp_consensus_driver.hpp
@@ -59,7 +59,7 @@
     //! Errors: as RaftNode::proposeMembership().
     Result<void> proposeMembership(const Membership &next);
     //! Transfers leadership to the up-to-date voter with the most recent message.
-    void handOver();
+    void transferLeadership();
 
     [[nodiscard]] bool isStarted() const
     {
--- a/src/gateway/cp_entry_replica.cpp
+++ b/src/gateway/cp_entry_replica.cpp
@@ -14,8 +14,8 @@
 template<typename Buckets>
 Result<bool> applyDelta(Buckets &buckets, const ContentDelta &delta)
 {
-    Result<void> applied = buckets.take(delta.buckets);
-    const bool isComplete = applied.has_value() && delta.rest == 0;
+    Result<void> applied = buckets.replaceBuckets(delta.buckets);
+    const bool isComplete = applied.has_value() && delta.remainingBuckets == 0;
     if (isComplete && buckets.checksum() != delta.checksum) {
         // A collision of digests hides a difference between two buckets.
         applied = makeError(ErrorKind::InvalidRequest, "the buckets do not match the leader's checksum");
--- a/src/gateway/cp_forwarded_request.cpp
+++ b/src/gateway/cp_forwarded_request.cpp
@@ -21,8 +21,8 @@
     finish.backend = lastBackend;
     finish.retentionMs
         = route->retention.count() > 0 ? static_cast<std::uint32_t>(route->retention.count()) : defaultRetentionMs;
-    finish.isKept = route->keepsHistory && ending == TurnEnding::Complete;
-    if (finish.isKept) {
+    finish.isRetained = route->keepsHistory && ending == TurnEnding::Complete;
+    if (finish.isRetained) {
         finish.input = message.body();
         finish.output = eventScanner.output();
     }
--- a/src/gateway/cp_forwarder.cpp
+++ b/src/gateway/cp_forwarder.cpp
@@ -198,7 +198,7 @@
     begin.program = request.programId();
     begin.previous = request.route->keepsHistory ? request.previousTurnId() : std::string();
     begin.account = request.isLimited ? request.account : std::string();
-    begin.tokensAtMost = request.metadata.maxOutputTokens;
+    begin.maxTokens = request.metadata.maxOutputTokens;
     begin.budget = request.metadata.budget;
     begin.retentionMs = request.finish(TurnEnding::NotRun).retentionMs;
     if (request.service->isEngine) {
@@ -397,7 +397,7 @@
         return;
     }
     const bool hasRun = request.runs > 0 || request.hasResponseStarted || request.isResponseComplete;
-    TurnEnding ending = hasRun ? TurnEnding::Broken : TurnEnding::NotRun;
+    TurnEnding ending = hasRun ? TurnEnding::Interrupted : TurnEnding::NotRun;
     if (request.isResponseComplete) {
         ending = TurnEnding::Complete;
     }
--- a/src/gateway/cp_gateway.cpp
+++ b/src/gateway/cp_gateway.cpp
@@ -320,7 +320,7 @@
         io_.stop();
         co_return;
     }
-    ledger_->handOver();
+    ledger_->transferLeadership();
     co_await sleepFor(leadershipTransferTime);
     api_->stop();
     directory_->stop();
--- a/src/gateway/cp_gateway_settings.cpp
+++ b/src/gateway/cp_gateway_settings.cpp
@@ -27,7 +27,7 @@
     const std::string role = reader.requiredText("role");
     const std::optional<GatewayRole> parsedRole = valueOf(gatewayRoleNames, role);
     if (!parsedRole) {
-        reader.fault("role", fmt::format("'{}' is neither 'entry' nor 'ledger'", role));
+        reader.addError("role", fmt::format("'{}' is neither 'entry' nor 'ledger'", role));
     }
     settings.role = parsedRole.value_or(GatewayRole::Entry);
     if (settings.role == GatewayRole::Entry) {
@@ -43,7 +43,7 @@
 
 void readGatewaySection(const IniSection &section, GatewaySettingsResult &result)
 {
-    SectionReader reader(section, result.faults);
+    SectionReader reader(section, result.errors);
     GatewaySettings &settings = result.settings;
     const auto duration = [&](std::string_view key, std::int64_t fallback) {
         return Milliseconds(reader.integer(key, fallback, 1, maxDurationMs));
@@ -92,26 +92,26 @@
 {
     GatewaySettingsResult result;
     const IniDocument document = IniDocument::parse(text);
-    result.faults = document.faults();
+    result.errors = document.errors();
     bool hasGateway = false;
     for (const IniSection &section : document.sections()) {
         if (section.kind == "gateway") {
             hasGateway = true;
             readGatewaySection(section, result);
         } else if (section.kind == "seed") {
-            SectionReader reader(section, result.faults);
+            SectionReader reader(section, result.errors);
             result.settings.seeds.push_back(reader.address("address"));
             reader.finish();
         } else {
-            result.faults.push_back(
+            result.errors.push_back(
                 {section.line, section.header(), {}, fmt::format("'{}' is not a kind of section", section.kind)});
         }
     }
     if (!hasGateway) {
-        result.faults.push_back({0, "gateway", {}, "the section is missing"});
+        result.errors.push_back({0, "gateway", {}, "the section is missing"});
     }
     if (result.settings.seeds.empty()) {
-        result.faults.push_back({0, "seed", {}, "at least one [seed NAME] section is required"});
+        result.errors.push_back({0, "seed", {}, "at least one [seed NAME] section is required"});
     }
     return result;
 }
--- a/src/gateway/cp_gateway_settings.hpp
+++ b/src/gateway/cp_gateway_settings.hpp
@@ -80,10 +80,10 @@
 
 struct GatewaySettingsResult {
     GatewaySettings settings;
-    std::vector<ConfigFault> faults;
+    std::vector<ConfigError> errors;
 };
 
-//! Parses the settings and collects all faults of the text.
+//! Parses the settings and collects all errors of the text.
 [[nodiscard]] GatewaySettingsResult parseGatewaySettings(std::string_view text);
 
 } // namespace cardamompost
--- a/src/gateway/cp_group_discovery.cpp
+++ b/src/gateway/cp_group_discovery.cpp
@@ -55,7 +55,7 @@
     storeTimer_.cancel();
 }
 
-void GroupDiscovery::noteConfirmed(const GroupView &group)
+void GroupDiscovery::recordConfirmed(const GroupView &group)
 {
     leader_ = group.leader;
     leaderTerm_ = group.term;
@@ -65,7 +65,7 @@
     }
 }
 
-bool GroupDiscovery::noteNotice(const GroupView &group)
+bool GroupDiscovery::recordNotice(const GroupView &group)
 {
     // A notice with a lower term comes from a deposed leader.
     if (group.term < leaderTerm_) {
@@ -77,7 +77,7 @@
     return isNewLeader;
 }
 
-void GroupDiscovery::noteHint(const GroupView &group)
+void GroupDiscovery::recordHint(const GroupView &group)
 {
     leader_ = group.leader;
     hintedPeers_ = group.members;
--- a/src/gateway/cp_group_discovery.hpp
+++ b/src/gateway/cp_group_discovery.hpp
@@ -33,11 +33,11 @@
     void stop();
 
     //! Records the view of a leader that its quorum has just confirmed.
-    void noteConfirmed(const GroupView &group);
+    void recordConfirmed(const GroupView &group);
     //! Records the notice of an unconfirmed leader. \returns true when it differs from the known one
-    bool noteNotice(const GroupView &group);
+    bool recordNotice(const GroupView &group);
     //! Records the view of a VM that isn't a confirmed leader; its leader may be empty.
-    void noteHint(const GroupView &group);
+    void recordHint(const GroupView &group);
     void forgetLeader()
     {
         leader_.clear();
--- a/src/gateway/cp_ledger_begins.cpp
+++ b/src/gateway/cp_ledger_begins.cpp
@@ -165,7 +165,7 @@
 {
     // The lease keeps a partitioned leader from admitting requests while its successor does too. The usage report keeps
     // admitted requests counted after a failover.
-    const bool hasLease = driver_.hasLease() && !limiter_.waitsForReport(account);
+    const bool hasLease = driver_.hasLease() && !limiter_.mustWaitForReport(account);
     if (hasLease || !leads() || std::chrono::steady_clock::now() >= deadline) {
         done(hasLease);
         return;
@@ -224,17 +224,17 @@
     for (const std::string &server : placement.unreachable) {
         placement_.avoid(server, now + unreachableEjectionTime);
     }
-    TurnToPlace turn {begin.turn,
-                      begin.program,
-                      placement.service,
-                      placement.failureDomain,
-                      placement.rank,
-                      false,
-                      false,
-                      Milliseconds(placement.timeLeftMs)};
-    turn.isInProgress = isInProgress(begin);
-    turn.isLate = placement.programTimeLeftMs < 0;
-    placement_.request(std::move(turn), now,
+    SlotRequest request {begin.turn,
+                         begin.program,
+                         placement.service,
+                         placement.failureDomain,
+                         placement.rank,
+                         false,
+                         false,
+                         Milliseconds(placement.timeLeftMs)};
+    request.isInProgress = isInProgress(begin);
+    request.isLate = placement.programTimeLeftMs < 0;
+    placement_.request(std::move(request), now,
                        [this, active](const std::string &backend) { onPlaced(*active, backend); });
 }
 
@@ -273,7 +273,7 @@
                      {"budget", begin.budget},
                      {"spent", state_.spent(begin.program)},
                      {"reserved", state_.reserved(begin.program)},
-                     {"asked", begin.tokensAtMost},
+                     {"asked", begin.maxTokens},
                      {"term", driver_.node().term()}});
     if (status != TurnBeginStatus::NotLeader) {
         (status == TurnBeginStatus::BudgetExhausted ? exhaustedTurns_ : unknownTurns_).add();
@@ -299,14 +299,14 @@
         onDecided(*active, TurnBeginStatus::Granted);
         return;
     }
-    pendingTokens_[active->begin.program] += active->begin.tokensAtMost;
+    pendingTokens_[active->begin.program] += active->begin.maxTokens;
     TurnBegin record = active->begin;
     record.placement = {};
     record.account.clear();
     proposed_.emplace_back(std::chrono::steady_clock::now(), active);
     propose(std::move(record), [this, active](bool isCommitted) {
         const auto pending = pendingTokens_.find(active->begin.program);
-        pending->second -= active->begin.tokensAtMost;
+        pending->second -= active->begin.maxTokens;
         if (pending->second == 0) {
             pendingTokens_.erase(pending);
         }
@@ -323,7 +323,7 @@
     placement_.release(finish.turn, std::chrono::steady_clock::now());
     const std::string turn = finish.turn;
     // A retried finish: an applied turn is already durable on a quorum.
-    const bool isRecorded = finish.isKept && state_.hasTurn(turn);
+    const bool isRecorded = finish.isRetained && state_.hasTurn(turn);
     // A rejected turn holds no reservation, and a leader has applied all entries committed by its predecessors. Nothing
     // is written for it, since it may have been rejected because of overload.
     const bool hasNothingToRelease = finish.ending == TurnEnding::NotRun && !state_.isReserved(finish.program, turn)
--- a/src/gateway/cp_ledger_members.cpp
+++ b/src/gateway/cp_ledger_members.cpp
@@ -123,7 +123,7 @@
 
 void LedgerService::onLeaderNotice(const LeaderNotice &notice)
 {
-    const bool isNewLeader = discovery_.noteNotice(notice.group);
+    const bool isNewLeader = discovery_.recordNotice(notice.group);
     if (isNewLeader && driver_.leader().empty()) {
         parts_.log.info("ledger.called", {{"leader", notice.group.leader}, {"term", notice.group.term}});
         requestJoin();
@@ -196,11 +196,11 @@
         // A notice received meanwhile takes precedence over a failed or negative reply.
         const bool isSuperseded = discovery_.leader() != target && !discovery_.leader().empty();
         if (!isSuperseded) {
-            discovery_.noteHint(reply.group.leader == target ? GroupView {} : reply.group);
+            discovery_.recordHint(reply.group.leader == target ? GroupView {} : reply.group);
         }
         return;
     }
-    discovery_.noteConfirmed(reply.group);
+    discovery_.recordConfirmed(reply.group);
     if (driver_.isStarted()) {
         return;
     }
@@ -301,7 +301,7 @@
             const auto requester = joinRequesters_.find(peer);
             const bool hasTexts
                 = requester != joinRequesters_.end() && requester->second.completeUpTo >= node.log().snapshot().index;
-            candidate.isCaughtUp = hasTexts && node.matchOf(peer) >= node.commitIndex();
+            candidate.isCaughtUp = hasTexts && node.matchIndexOf(peer) >= node.commitIndex();
         }
     }
     return result;
--- a/src/gateway/cp_ledger_service.cpp
+++ b/src/gateway/cp_ledger_service.cpp
@@ -129,7 +129,7 @@
 {
     if (driver_.isStarted() && clockTerm_ != driver_.node().term()) {
         clockTerm_ = driver_.node().term();
-        clock_.takeOver(state_.nowMs(), std::chrono::steady_clock::now());
+        clock_.resumeFrom(state_.nowMs(), std::chrono::steady_clock::now());
     }
 }
 
@@ -206,7 +206,7 @@
             refreshClock();
             publishDocument();
             const TimePoint now = std::chrono::steady_clock::now();
-            limiter_.takeOver(state_.usage(), clock_.nowMs(now), now);
+            limiter_.restoreUsage(state_.usage(), clock_.nowMs(now), now);
         }
         placement_.clear();
     } else {
--- a/src/gateway/cp_ledger_service.hpp
+++ b/src/gateway/cp_ledger_service.hpp
@@ -97,9 +97,9 @@
     {
         return driver_.leader().empty() && discovery_.leader() != self_ ? discovery_.leader() : driver_.leader();
     }
-    void handOver()
+    void transferLeadership()
     {
-        driver_.handOver();
+        driver_.transferLeadership();
     }
 
     void apply(const LogEntry &entry) override;
--- a/src/gateway/cp_presence_table.cpp
+++ b/src/gateway/cp_presence_table.cpp
@@ -28,17 +28,17 @@
         || now - member.lastHeartbeat >= entrySuspicion.ceiling;
 }
 
-std::vector<EntryPlace> PresenceTable::ready(TimePoint now) const
+std::vector<EntryEndpoint> PresenceTable::ready(TimePoint now) const
 {
-    std::vector<EntryPlace> places;
+    std::vector<EntryEndpoint> endpoints;
     for (const auto &[vm, member] : members_) {
         if (member.presence.isReady && !isSuspected(member, now)) {
-            places.push_back({member.presence.address, member.presence.failureDomain});
+            endpoints.push_back({member.presence.address, member.presence.failureDomain});
         }
     }
-    std::sort(places.begin(), places.end(),
-              [](const EntryPlace &left, const EntryPlace &right) { return left.address < right.address; });
-    return places;
+    std::sort(endpoints.begin(), endpoints.end(),
+              [](const EntryEndpoint &left, const EntryEndpoint &right) { return left.address < right.address; });
+    return endpoints;
 }
 
 double PresenceTable::unreachableShare(std::string_view failureDomain, TimePoint now) const
@@ -55,12 +55,12 @@
     return total == 0 ? 0 : unreachable / total;
 }
 
-std::vector<std::string> addressesFor(std::string_view failureDomain, const std::vector<EntryPlace> &entries,
+std::vector<std::string> addressesFor(std::string_view failureDomain, const std::vector<EntryEndpoint> &entries,
                                       std::size_t maxCount)
 {
     std::vector<std::string> addresses;
     std::vector<std::string> remote;
-    for (const EntryPlace &entry : entries) {
+    for (const EntryEndpoint &entry : entries) {
         (entry.failureDomain == failureDomain ? addresses : remote).push_back(entry.address);
     }
     addresses.insert(addresses.end(), remote.begin(), remote.end());
--- a/src/gateway/cp_presence_table.hpp
+++ b/src/gateway/cp_presence_table.hpp
@@ -3,7 +3,7 @@
 
 #include <cardamompost/core/cp_time.hpp>
 #include <cardamompost/ledger/cp_ledger_message.hpp>
-#include <cardamompost/liveness/cp_silence_detector.hpp>
+#include <cardamompost/liveness/cp_failure_detector.hpp>
 
 #include <map>
 
@@ -25,7 +25,7 @@
     //! Records a heartbeat. \returns true if the sender is new, or its address or readiness has changed
     bool record(const Presence &presence, TimePoint now);
     //! Entries that are ready and not suspected, sorted by address.
-    [[nodiscard]] std::vector<EntryPlace> ready(TimePoint now) const;
+    [[nodiscard]] std::vector<EntryEndpoint> ready(TimePoint now) const;
     //! Share of a failure domain's directories that are unreachable, 0 to 1.
     [[nodiscard]] double unreachableShare(std::string_view failureDomain, TimePoint now) const;
 
@@ -33,7 +33,7 @@
     struct Member {
         Presence presence;
         TimePoint lastHeartbeat {};
-        SilenceDetector detector {entrySuspicion};
+        FailureDetector detector {entrySuspicion};
     };
 
     [[nodiscard]] bool isSuspected(const Member &member, TimePoint now) const;
@@ -45,7 +45,7 @@
 
 //! At most maxCount addresses of entries, those in the given failure domain first.
 [[nodiscard]] std::vector<std::string> addressesFor(std::string_view failureDomain,
-                                                    const std::vector<EntryPlace> &entries, std::size_t maxCount);
+                                                    const std::vector<EntryEndpoint> &entries, std::size_t maxCount);
 
 } // namespace cardamompost
 
--- a/tests/config/cp_configuration.tests.cpp
+++ b/tests/config/cp_configuration.tests.cpp
@@ -37,21 +37,21 @@
                        sha256Hex("officer"), sha256Hex("duty"));
 }
 
-std::vector<std::string> faultsOf(const std::string &text)
+std::vector<std::string> errorsOf(const std::string &text)
 {
-    std::vector<std::string> faults;
+    std::vector<std::string> errors;
     const Configuration::ParseResult parsed = Configuration::parse(text);
-    for (const ConfigFault &fault : parsed.faults) {
-        faults.push_back(fault.toString());
+    for (const ConfigError &error : parsed.errors) {
+        errors.push_back(error.toString());
     }
-    return faults;
+    return errors;
 }
 
-bool hasFault(const std::string &text, const std::string &part)
+bool hasError(const std::string &text, const std::string &part)
 {
-    const std::vector<std::string> faults = faultsOf(text);
-    return std::any_of(faults.begin(), faults.end(),
-                       [&](const std::string &fault) { return fault.find(part) != std::string::npos; });
+    const std::vector<std::string> errors = errorsOf(text);
+    return std::any_of(errors.begin(), errors.end(),
+                       [&](const std::string &error) { return error.find(part) != std::string::npos; });
 }
 
 } // namespace
@@ -61,7 +61,7 @@
 BOOST_AUTO_TEST_CASE(a_valid_document_is_parsed_completely)
 {
     const Configuration::ParseResult parsed = Configuration::parse(validDocument());
-    BOOST_REQUIRE(parsed.faults.empty());
+    BOOST_REQUIRE(parsed.errors.empty());
     const Deployment *deployment = parsed.configuration.findDeployment("agents");
     BOOST_REQUIRE(deployment != nullptr);
     BOOST_TEST(deployment->replicas.size() == 1U);
@@ -74,7 +74,7 @@
     BOOST_TEST(parsed.configuration.operatorByKey("officer") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(every_fault_is_reported_at_once_with_line_section_and_key)
+BOOST_AUTO_TEST_CASE(every_error_is_reported_at_once_with_line_section_and_key)
 {
     const std::string text = R"([class plan]
 rank = high
@@ -93,27 +93,27 @@
 [shelf x]
 no equals sign
 )";
-    BOOST_TEST(hasFault(text, "line 2: [class plan] rank: 'high' is not a whole number"));
-    BOOST_TEST(hasFault(text, "line 3: [class plan] colour: unknown key in this section"));
-    BOOST_TEST(hasFault(text, "line 5: [deployment agents] model: a value is required"));
-    BOOST_TEST(hasFault(text, "line 6: [deployment agents] classes: 'missing' is not declared"));
-    BOOST_TEST(hasFault(text, "line 9: [replica r] deployment: 'nowhere' is not declared"));
-    BOOST_TEST(hasFault(text, "line 10: [replica r] address: 'host:1' is not an IP address with a port"));
-    BOOST_TEST(hasFault(text, "line 13: [class plan] duplicate section"));
-    BOOST_TEST(hasFault(text, "line 15: [shelf x] 'shelf' is not a kind of section"));
-    BOOST_TEST(hasFault(text, "line 16: [shelf x] expected 'key = value'"));
-    BOOST_TEST(faultsOf(text).size() == 9U);
+    BOOST_TEST(hasError(text, "line 2: [class plan] rank: 'high' is not a whole number"));
+    BOOST_TEST(hasError(text, "line 3: [class plan] colour: unknown key in this section"));
+    BOOST_TEST(hasError(text, "line 5: [deployment agents] model: a value is required"));
+    BOOST_TEST(hasError(text, "line 6: [deployment agents] classes: 'missing' is not declared"));
+    BOOST_TEST(hasError(text, "line 9: [replica r] deployment: 'nowhere' is not declared"));
+    BOOST_TEST(hasError(text, "line 10: [replica r] address: 'host:1' is not an IP address with a port"));
+    BOOST_TEST(hasError(text, "line 13: [class plan] duplicate section"));
+    BOOST_TEST(hasError(text, "line 15: [shelf x] 'shelf' is not a kind of section"));
+    BOOST_TEST(hasError(text, "line 16: [shelf x] expected 'key = value'"));
+    BOOST_TEST(errorsOf(text).size() == 9U);
 }
 
 BOOST_AUTO_TEST_CASE(two_accounts_cannot_share_a_key)
 {
-    BOOST_TEST(hasFault(validDocument() + fmt::format("[caller others]\nkey_sha256 = {}\n", sha256Hex("duty")),
+    BOOST_TEST(hasError(validDocument() + fmt::format("[caller others]\nkey_sha256 = {}\n", sha256Hex("duty")),
                         "another account has the same key"));
 }
 
 BOOST_AUTO_TEST_CASE(invalid_utf8_is_rejected)
 {
-    BOOST_TEST(hasFault("[class \xff]\n", "line 1: the line is not valid UTF-8 text"));
+    BOOST_TEST(hasError("[class \xff]\n", "line 1: the line is not valid UTF-8 text"));
     BOOST_TEST(!isCleanUtf8("\xc0\xaf"));
     BOOST_TEST(!isCleanUtf8("\xed\xa0\x80"));
     BOOST_TEST(!isCleanUtf8("\xf4\x90\x80\x80"));
@@ -155,8 +155,8 @@
     const SettingsResult parsed
         = parseSettings("[vm]\nname = vm-1\nhttp = 127.0.0.1:1\npeer = 127.0.0.1:2\nkeeper = true\n");
     std::string all;
-    for (const ConfigFault &fault : parsed.faults) {
-        all += fault.toString() + "\n";
+    for (const ConfigError &error : parsed.errors) {
+        all += error.toString() + "\n";
     }
     BOOST_TEST(all.find("failure_domain: a value is required") != std::string::npos);
     BOOST_TEST(all.find("data_folder: a keeper needs a data folder") != std::string::npos);
--- a/tests/consensus/cp_raft_node.tests.cpp
+++ b/tests/consensus/cp_raft_node.tests.cpp
@@ -176,8 +176,8 @@
     BOOST_TEST((refused.error().kind == ErrorKind::InvalidRequest));
 }
 
-// The snapshot transfer has to tolerate lost and duplicate pieces.
-BOOST_AUTO_TEST_CASE(a_member_that_is_hundreds_of_entries_behind_gets_a_snapshot_in_pieces)
+// The snapshot transfer has to tolerate lost and duplicate chunks.
+BOOST_AUTO_TEST_CASE(a_member_that_is_hundreds_of_entries_behind_gets_a_snapshot_in_chunks)
 {
     const ThrowingInvariants guard;
     RaftCluster cluster(threeVms, 7);
@@ -263,8 +263,8 @@
     BOOST_TEST(bytesToVm3 == 0U);
 }
 
-// Guards against unbounded memory use of a leader that sends the same piece with every proposal and read.
-BOOST_AUTO_TEST_CASE(a_snapshot_piece_is_not_sent_again_while_its_reply_is_pending)
+// Guards against unbounded memory use of a leader that sends the same chunk with every proposal and read.
+BOOST_AUTO_TEST_CASE(a_snapshot_chunk_is_not_sent_again_while_its_reply_is_pending)
 {
     RaftOptions options;
     options.self = "vm-1";
@@ -285,10 +285,10 @@
     rejection.term = node.term();
     rejection.isUninitialized = true;
     node.step(now, rejection);
-    std::size_t pieces = 0;
+    std::size_t chunks = 0;
     const auto countPieces = [&] {
         for (const RaftMessage &message : node.takeReady().messages) {
-            pieces += message.type == RaftMessageType::SnapshotPiece ? 1 : 0;
+            chunks += message.type == RaftMessageType::SnapshotChunk ? 1 : 0;
         }
     };
     countPieces();
@@ -296,12 +296,12 @@
         BOOST_REQUIRE(node.propose("y").has_value());
         countPieces();
     }
-    BOOST_TEST(pieces == 1U);
-    // A lost piece is sent again.
+    BOOST_TEST(chunks == 1U);
+    // A lost chunk is sent again.
     now += Milliseconds(250);
     node.tick(now);
     countPieces();
-    BOOST_TEST(pieces == 2U);
+    BOOST_TEST(chunks == 2U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/daemon/cp_live_call.tests.cpp
+++ b/tests/daemon/cp_live_call.tests.cpp
@@ -138,7 +138,7 @@
     const LiveEvent tokens {LiveEvent::Kind::Tokens, eventId(1, 1), "hold \"two\"\n", {}};
     const ApiChunk native = chunkFor(context, tokens).value();
     BOOST_TEST(native.body.find(R"("text":"hold \"two\"\n")") != std::string::npos);
-    context.form = ApiForm::ChatCompletion;
+    context.format = ApiFormat::ChatCompletion;
     const ApiChunk chat = chunkFor(context, tokens).value();
     BOOST_TEST(chat.body.find(R"("content":"hold \"two\"\n")") != std::string::npos);
     const LiveEvent last {LiveEvent::Kind::Final, eventId(1, 1), {}, resultOf("x")};
--- a/tests/gateway/cp_presence_table.tests.cpp
+++ b/tests/gateway/cp_presence_table.tests.cpp
@@ -26,7 +26,7 @@
     PresenceTable table;
     table.record(presence("a", "apapa"), now);
     table.record(presence("b", "onne"), now);
-    const std::vector<EntryPlace> entries = table.ready(now);
+    const std::vector<EntryEndpoint> entries = table.ready(now);
     BOOST_TEST((addressesFor("onne", entries, maxCount) == std::vector<std::string> {"b:80", "a:80"}));
     BOOST_TEST(addressesFor("onne", entries, 1).size() == 1U);
 }
@@ -90,23 +90,23 @@
     const auto entry
         = parseGatewaySettings("[gateway]\nvm = e\nfailure_domain = apapa\nrole = entry\npeer = 10.0.0.1:7000\n"
                                "front = 10.0.0.1:80\nready = 10.0.0.1:81\n[seed 0]\naddress = 10.0.0.9:90\n");
-    BOOST_TEST(entry.faults.empty());
+    BOOST_TEST(entry.errors.empty());
     BOOST_TEST((entry.settings.seedPeers() == std::vector<VmName> {"10.0.0.9:90"}));
     const auto ledger = parseGatewaySettings(
         "[gateway]\nvm = l\nfailure_domain = apapa\nrole = ledger\npeer = 10.0.0.1:7000\n"
         "control = 10.0.0.1:80\ndirectory = 10.0.0.1:81\nbackend_list = 10.0.0.2:1\n"
         "data_folder = /d\nfirst_start = true\nseed_port = 7000\n[seed 0]\naddress = 10.0.0.9:90\n");
-    BOOST_TEST(ledger.faults.empty());
+    BOOST_TEST(ledger.errors.empty());
     BOOST_TEST(ledger.settings.isFirstStart);
     BOOST_TEST((ledger.settings.seedPeers() == std::vector<VmName> {"10.0.0.9:7000"}));
 }
 
-BOOST_AUTO_TEST_CASE(all_faults_are_reported_at_once)
+BOOST_AUTO_TEST_CASE(all_errors_are_reported_at_once)
 {
     const auto result = parseGatewaySettings("[gateway]\nvm = e\nrole = cook\npeer = nowhere\nfront = x\nbogus = 1\n");
     std::string all;
-    for (const ConfigFault &fault : result.faults) {
-        all += fault.toString() + "\n";
+    for (const ConfigError &error : result.errors) {
+        all += error.toString() + "\n";
     }
     for (const std::string key : {"failure_domain", "role", "peer", "bogus", "seed"}) {
         BOOST_TEST(all.find(key) != std::string::npos, key << " is missing in:\n" << all);
--- a/tests/journal/cp_journal.tests.cpp
+++ b/tests/journal/cp_journal.tests.cpp
@@ -80,7 +80,7 @@
     BOOST_TEST(cluster.acknowledged.size() > 90U);
     cluster.start("keeper-2");
     cluster.run(Milliseconds(10'000));
-    BOOST_TEST(owner.writer->matchOf("keeper-2") == owner.writer->lastIndex());
+    BOOST_TEST(owner.writer->matchIndexOf("keeper-2") == owner.writer->lastIndex());
 }
 
 // The replaced replica has to catch up although nothing is appended between the two losses.
--- a/tests/ledger/cp_ledger_state.tests.cpp
+++ b/tests/ledger/cp_ledger_state.tests.cpp
@@ -26,7 +26,7 @@
     result.ending = ending;
     result.tokens = tokens;
     result.retentionMs = retentionMs;
-    result.isKept = ending == TurnEnding::Complete;
+    result.isRetained = ending == TurnEnding::Complete;
     result.input = "in-" + result.turn + ";";
     result.output = "out-" + result.turn + "\n";
     return result;
@@ -98,7 +98,7 @@
     apply(state, finish("a", 0, TurnEnding::NotRun));
     BOOST_TEST(state.spent("program") == 0);
     apply(state, begin("b", 200));
-    apply(state, finish("b", 30, TurnEnding::Broken));
+    apply(state, finish("b", 30, TurnEnding::Interrupted));
     BOOST_TEST(state.spent("program") == 30);
     BOOST_TEST(!state.hasTurn("b"));
 }
@@ -133,12 +133,12 @@
     LedgerState state;
     const TimePoint start {};
     LedgerClock first;
-    first.takeOver(state.nowMs(), start);
+    first.resumeFrom(state.nowMs(), start);
     apply(state, finish("a", 1), first.nowMs(start + Milliseconds(5000)));
     // Steady clocks of different machines are unrelated.
     const TimePoint elsewhere = start + std::chrono::hours(1000);
     LedgerClock second;
-    second.takeOver(state.nowMs(), elsewhere);
+    second.resumeFrom(state.nowMs(), elsewhere);
     apply(state, finish("b", 1, TurnEnding::Complete, "a"), second.nowMs(elsewhere + Milliseconds(59'000)));
     BOOST_TEST(state.hasTurn("a"));
     // The leader change does not restart the retention time.
@@ -189,13 +189,13 @@
 
 BOOST_AUTO_TEST_CASE(commands_round_trip_and_invalid_bytes_are_rejected)
 {
-    const LedgerCommand command {startMs, finish("a", 12, TurnEnding::Broken, "p")};
+    const LedgerCommand command {startMs, finish("a", 12, TurnEnding::Interrupted, "p")};
     const LedgerCommand read = decodeLedgerCommand(encodeLedgerCommand(command)).value();
     BOOST_TEST(read.nowMs == startMs);
     const auto &end = std::get<TurnFinish>(read.action);
     BOOST_TEST(end.turn == "a");
     BOOST_TEST(end.tokens == 12);
-    BOOST_TEST((end.ending == TurnEnding::Broken));
+    BOOST_TEST((end.ending == TurnEnding::Interrupted));
     BOOST_TEST(!decodeLedgerCommand("nonsense").has_value());
     BOOST_TEST(!LedgerState::decode("nonsense, but longer than a word").has_value());
 }
@@ -214,7 +214,7 @@
     const UsageLog::Items items = LedgerState::decode(state.encode()).value().usage().items();
     BOOST_TEST((items == state.usage().items()));
     BOOST_TEST((items.at("officers") == std::deque<UsageLog::Item> {{1000, 3}, {2000, 4}}));
-    report(2000 + UsageLog::keepMs, {{"foremen", 2}});
+    report(2000 + UsageLog::retentionMs, {{"foremen", 2}});
     BOOST_TEST(state.usage().items().at("officers").size() == 1U);
     BOOST_TEST(state.usage().items().at("foremen").size() == 1U);
 }
--- a/tests/ledger/cp_turn_texts.tests.cpp
+++ b/tests/ledger/cp_turn_texts.tests.cpp
@@ -132,7 +132,7 @@
         finish.turn = "t" + std::to_string(index);
         finish.previous = index == 1 ? std::string() : "t" + std::to_string(index - 1);
         finish.ending = TurnEnding::Complete;
-        finish.isKept = true;
+        finish.isRetained = true;
         finish.retentionMs = 60'000;
         finish.input = finish.turn;
         ahead.apply({nowMs, finish}, index);
--- a/tests/limits/cp_request_limiter.tests.cpp
+++ b/tests/limits/cp_request_limiter.tests.cpp
@@ -165,7 +165,7 @@
     UsageLog usage;
     usage.add(1000, first.takeReport(start));
     RequestLimiter second = makeIdleLimiter({account("a", {100, 100})}, LimiterSimulation::tolerance());
-    second.takeOver(usage, 1000, start);
+    second.restoreUsage(usage, 1000, start);
     const int after = admitted(second, "a", 1000, start);
     const int alone = admitted(first, "a", 1000, start);
     BOOST_TEST(before == 20);
@@ -176,15 +176,15 @@
 BOOST_AUTO_TEST_CASE(an_account_waits_while_too_much_usage_is_unreported)
 {
     RequestLimiter limiter = makeIdleLimiter({account("a", {100, 100})}, LimiterSimulation::tolerance());
-    BOOST_TEST(!limiter.waitsForReport("a"));
+    BOOST_TEST(!limiter.mustWaitForReport("a"));
     admitted(limiter, "a", 20, start);
-    BOOST_TEST(limiter.waitsForReport("a"));
+    BOOST_TEST(limiter.mustWaitForReport("a"));
     const std::vector<AccountUsage> report = limiter.takeReport(start);
-    BOOST_TEST(limiter.waitsForReport("a"));
+    BOOST_TEST(limiter.mustWaitForReport("a"));
     limiter.endReport(report, false);
-    BOOST_TEST(limiter.waitsForReport("a"));
+    BOOST_TEST(limiter.mustWaitForReport("a"));
     limiter.endReport(limiter.takeReport(start), true);
-    BOOST_TEST(!limiter.waitsForReport("a"));
+    BOOST_TEST(!limiter.mustWaitForReport("a"));
 }
 
 // Guards against exceeding the limit through repeated leader changes and lost responses.
--- a/tests/liveness/cp_silence_detector.tests.cpp
+++ b/tests/liveness/cp_failure_detector.tests.cpp
@@ -1,4 +1,4 @@
-#include <cardamompost/liveness/cp_silence_detector.hpp>
+#include <cardamompost/liveness/cp_failure_detector.hpp>
 
 #include <boost/test/unit_test.hpp>
 
@@ -10,7 +10,7 @@
 constexpr SuspicionBounds bounds {Milliseconds(100), Milliseconds(300)};
 
 //! Records contacts at a regular interval. \returns the time of the last one
-TimePoint observeContacts(SilenceDetector &detector, TimePoint from, Milliseconds interval, int times)
+TimePoint observeContacts(FailureDetector &detector, TimePoint from, Milliseconds interval, int times)
 {
     for (int i = 0; i < times; ++i) {
         detector.observe(from);
@@ -21,16 +21,16 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(silence_detector)
+BOOST_AUTO_TEST_SUITE(failure_detector)
 
 BOOST_AUTO_TEST_CASE(the_timeout_is_the_ceiling_before_the_first_contact)
 {
-    BOOST_TEST(SilenceDetector(bounds).suspicionTimeout().count() == 300);
+    BOOST_TEST(FailureDetector(bounds).suspicionTimeout().count() == 300);
 }
 
 BOOST_AUTO_TEST_CASE(frequent_contacts_reduce_the_timeout_to_the_floor)
 {
-    SilenceDetector detector(bounds);
+    FailureDetector detector(bounds);
     observeContacts(detector, TimePoint {}, Milliseconds(30), 10);
     BOOST_TEST(detector.suspicionTimeout().count() == 100);
 }
@@ -38,7 +38,7 @@
 // Guards against a false suspicion at each regular pause, such as those of a throttled CPU.
 BOOST_AUTO_TEST_CASE(regular_pauses_extend_the_timeout)
 {
-    SilenceDetector detector(bounds);
+    FailureDetector detector(bounds);
     TimePoint now = observeContacts(detector, TimePoint {}, Milliseconds(30), 10);
     detector.observe(now += Milliseconds(90));
     BOOST_TEST(detector.suspicionTimeout().count() == 135);
@@ -48,7 +48,7 @@
 
 BOOST_AUTO_TEST_CASE(the_effect_of_a_single_long_pause_decays)
 {
-    SilenceDetector detector(bounds);
+    FailureDetector detector(bounds);
     TimePoint now = observeContacts(detector, TimePoint {}, Milliseconds(30), 10);
     now += Milliseconds(2000);
     detector.observe(now);
@@ -59,7 +59,7 @@
 
 BOOST_AUTO_TEST_CASE(a_restart_for_another_peer_resets_the_timeout_to_the_floor)
 {
-    SilenceDetector detector(bounds);
+    FailureDetector detector(bounds);
     const TimePoint now = observeContacts(detector, TimePoint {}, Milliseconds(200), 3);
     BOOST_TEST(detector.suspicionTimeout().count() == 300);
     detector.restart(now);
--- a/tests/net/cp_frame.tests.cpp
+++ b/tests/net/cp_frame.tests.cpp
@@ -28,7 +28,7 @@
 BOOST_AUTO_TEST_CASE(peer_messages_round_trip_through_the_frame_codec)
 {
     RaftMessage raft;
-    raft.type = RaftMessageType::SnapshotPiece;
+    raft.type = RaftMessageType::SnapshotChunk;
     raft.from = "vm-1";
     raft.isUninitialized = true;
     raft.entries = {{4, 2, EntryKind::Barrier, std::string("\0binary", 7)}};
--- a/tests/platform/cp_entry_replica.tests.cpp
+++ b/tests/platform/cp_entry_replica.tests.cpp
@@ -69,9 +69,9 @@
     Entry entry;
     const DocumentBuckets leader = bucketsOf(routeCount);
     DocumentBuckets received;
-    for (ContentDelta delta = leader.deltaFrom({}, maxReplyBytes); delta.rest > 0;
+    for (ContentDelta delta = leader.deltaFrom({}, maxReplyBytes); delta.remainingBuckets > 0;
          delta = leader.deltaFrom(received.digests(), maxReplyBytes)) {
-        BOOST_REQUIRE(received.take(delta.buckets).has_value());
+        BOOST_REQUIRE(received.replaceBuckets(delta.buckets).has_value());
         entry.apply(5, std::move(delta));
         BOOST_TEST(entry.version() == 0U);
     }
--- a/tests/platform/cp_platform_faults.tests.cpp
+++ b/tests/platform/cp_platform_faults.tests.cpp
@@ -262,9 +262,9 @@
     }
     system.link.delayChunks(Milliseconds(0));
     BOOST_TEST(system.turn(entry, "l-spent", previous, turns * tokensPerTurn).status == 402U);
-    const int spentAtMost = totalTries * tokensPerTurn;
+    const int maxSpentTokens = totalTries * tokensPerTurn;
     BOOST_TEST(System::eventually(
-        [&] { return system.turn(entry, "l-last", previous, spentAtMost + maxTokensPerTurn).status == 200; }));
+        [&] { return system.turn(entry, "l-last", previous, maxSpentTokens + maxTokensPerTurn).status == 200; }));
 }
 
 // Guards against control requests that are refused for good by VMs that aren't members.
--- a/tests/platform/cp_platform_path.tests.cpp
+++ b/tests/platform/cp_platform_path.tests.cpp
@@ -159,7 +159,7 @@
     BOOST_TEST(refused.cause.find("found no leader of the ledger") != std::string::npos);
     BOOST_TEST(refused.missing.empty());
     const auto isLeaderLost = [](const ExplainedLine &line) { return line.event == "ledger.lost"; };
-    BOOST_TEST(std::any_of(refused.surroundings.begin(), refused.surroundings.end(), isLeaderLost));
+    BOOST_TEST(std::any_of(refused.contextLines.begin(), refused.contextLines.end(), isLeaderLost));
     BOOST_TEST(!system.explain("nobody").missing.empty());
 
     // No route matches, but without the ledger the document may be stale.
--- a/tests/policy/cp_turn_placement.tests.cpp
+++ b/tests/policy/cp_turn_placement.tests.cpp
@@ -15,7 +15,7 @@
     return {std::move(id), "engines", {"127.0.0.1", 1}, "apapa", slots, isLeaving};
 }
 
-TurnToPlace turn(std::string id, std::string program, bool isInProgress = false, unsigned rank = 0)
+SlotRequest turn(std::string id, std::string program, bool isInProgress = false, unsigned rank = 0)
 {
     return {std::move(id), std::move(program), "engines", "apapa", rank, isInProgress, false, Milliseconds(4000)};
 }
@@ -29,11 +29,11 @@
         placement.setServers(engines, start);
     }
     //! Returns the engine if the turn is placed immediately, or "-" if it waits.
-    std::string place(TurnToPlace turnToPlace, TimePoint now = start)
+    std::string place(SlotRequest slotRequest, TimePoint now = start)
     {
-        const std::string id = turnToPlace.turn;
+        const std::string id = slotRequest.turn;
         engineOf[id] = "-";
-        placement.request(std::move(turnToPlace), now, [this, id](const std::string &engineId) {
+        placement.request(std::move(slotRequest), now, [this, id](const std::string &engineId) {
             engineOf[id] = engineId;
             placementOrder.push_back(id);
         });
@@ -89,7 +89,7 @@
 {
     PlacementFixture fixture({engine("a"), engine("b")});
     fixture.fill(2);
-    TurnToPlace late = turn("late", "l", true);
+    SlotRequest late = turn("late", "l", true);
     late.isLate = true;
     BOOST_TEST(fixture.place(late) != "-");
     BOOST_TEST(fixture.place(turn("low", "x", false, 1)) == "-");
--- a/tests/program/cp_program.tests.cpp
+++ b/tests/program/cp_program.tests.cpp
@@ -177,13 +177,13 @@
     const JournalRecord record {programId, 7, CallIntent {1, 2, "replica-9", 55, 2, 17, "kept text"}};
     const JournalRecord copy = decodeRecord(encodeRecord(record)).value();
     const auto &intent = std::get<CallIntent>(copy.body);
-    BOOST_TEST(intent.keptText == "kept text");
-    BOOST_TEST(intent.keptTokens == 17U);
+    BOOST_TEST(intent.priorText == "kept text");
+    BOOST_TEST(intent.priorTokens == 17U);
     BOOST_TEST(copy.program == programId);
     BOOST_TEST(fixture.program.hasEnded());
-    BOOST_TEST(fixture.program.heldBackends().contains("replica-1"));
+    BOOST_TEST(fixture.program.unreleasedBackends().contains("replica-1"));
     fixture.apply(BackendReleased {"replica-1"});
-    BOOST_TEST(fixture.program.heldBackends().empty());
+    BOOST_TEST(fixture.program.unreleasedBackends().empty());
 }
 
 BOOST_AUTO_TEST_CASE(messages_already_in_the_history_are_removed)
--- a/tests/routing/cp_backend_buckets.tests.cpp
+++ b/tests/routing/cp_backend_buckets.tests.cpp
@@ -48,7 +48,7 @@
     BackendBuckets leader;
     leader.set(servers(serverCount));
     BackendBuckets entry;
-    BOOST_REQUIRE(entry.take(leader.deltaFrom({}).buckets).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(leader.deltaFrom({}).buckets).has_value());
     std::vector<BackendServer> got = entry.content();
     std::vector<BackendServer> sent = servers(serverCount);
     sort(got);
@@ -65,7 +65,7 @@
     BackendBuckets first;
     first.set(list);
     BackendBuckets entry;
-    BOOST_REQUIRE(entry.take(first.deltaFrom(entry.digests()).buckets).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(first.deltaFrom(entry.digests()).buckets).has_value());
     std::reverse(list.begin(), list.end());
     BackendBuckets second;
     second.set(list);
@@ -76,7 +76,7 @@
     const ContentDelta changed = second.deltaFrom(entry.digests());
     BOOST_TEST(changed.buckets.size() <= 2U);
     BOOST_TEST(bytesOf(changed) * 10 < bytesOf(second.deltaFrom({})));
-    BOOST_REQUIRE(entry.take(changed.buckets).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(changed.buckets).has_value());
     std::vector<BackendServer> got = entry.content();
     sort(got);
     sort(list);
@@ -88,9 +88,9 @@
     BackendBuckets leader;
     leader.set(servers(1));
     BackendBuckets entry;
-    BOOST_REQUIRE(entry.take(leader.deltaFrom(entry.digests()).buckets).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(leader.deltaFrom(entry.digests()).buckets).has_value());
     leader.set({});
-    BOOST_REQUIRE(entry.take(leader.deltaFrom(entry.digests()).buckets).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(leader.deltaFrom(entry.digests()).buckets).has_value());
     BOOST_TEST(entry.content().empty());
 }
 
@@ -99,9 +99,9 @@
     BackendBuckets entry;
     BackendBuckets leader;
     leader.set(servers(10));
-    BOOST_REQUIRE(entry.take(leader.deltaFrom({}).buckets).has_value());
-    BOOST_TEST(!entry.take({{3, "malformed message bytes"}}).has_value());
-    BOOST_TEST(!entry.take({{BackendBuckets::count, {}}}).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(leader.deltaFrom({}).buckets).has_value());
+    BOOST_TEST(!entry.replaceBuckets({{3, "malformed message bytes"}}).has_value());
+    BOOST_TEST(!entry.replaceBuckets({{BackendBuckets::count, {}}}).has_value());
     BOOST_TEST(entry.content().size() == 10U);
 }
 
--- a/tests/routing/cp_document_buckets.tests.cpp
+++ b/tests/routing/cp_document_buckets.tests.cpp
@@ -67,7 +67,7 @@
     DocumentBuckets leader;
     leader.set(document(20));
     DocumentBuckets entry;
-    BOOST_REQUIRE(entry.take(leader.deltaFrom({}).buckets).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(leader.deltaFrom({}).buckets).has_value());
     BOOST_TEST(entry.checksum() == leader.checksum());
     const RouteDocument got = entry.content();
     BOOST_TEST(got.routes.size() == 20U);
@@ -105,7 +105,7 @@
     DocumentBuckets leader;
     leader.set(now);
     DocumentBuckets entry;
-    BOOST_REQUIRE(entry.take(leader.deltaFrom({}).buckets).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(leader.deltaFrom({}).buckets).has_value());
     std::reverse(now.routes.begin(), now.routes.end());
     now.version = 8;
     now.routes.front().timeout = Milliseconds(5000);
@@ -114,7 +114,7 @@
     const ContentDelta changed = leader.deltaFrom(entry.digests());
     BOOST_TEST(changed.buckets.size() == 2U);
     BOOST_TEST(bytesOf(changed) * 20 < bytesOf(leader.deltaFrom({})));
-    BOOST_REQUIRE(entry.take(changed.buckets).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(changed.buckets).has_value());
     const RouteDocument got = entry.content();
     BOOST_TEST(got.routes.size() == routeCount - 1);
     BOOST_TEST(find(got, "r-1399")->timeout.count() == 5000);
@@ -133,19 +133,19 @@
     for (std::size_t i = 0; i < 3; ++i) {
         const ContentDelta delta = leader.deltaFrom(entry.digests(), maxDeltaBytes);
         BOOST_TEST(bytesOf(delta) <= maxDeltaBytes);
-        BOOST_TEST(delta.rest > 0U);
-        BOOST_REQUIRE(entry.take(delta.buckets).has_value());
+        BOOST_TEST(delta.remainingBuckets > 0U);
+        BOOST_REQUIRE(entry.replaceBuckets(delta.buckets).has_value());
     }
     const std::size_t received = totalBuckets - leader.deltaFrom(entry.digests()).buckets.size();
     BOOST_TEST(received >= 3U);
     now.routes[5].timeout = Milliseconds(5000);
     leader.set(now);
-    std::size_t rest = 0;
+    std::size_t remainingBuckets = 0;
     do {
         const ContentDelta delta = leader.deltaFrom(entry.digests(), maxDeltaBytes);
-        BOOST_REQUIRE(entry.take(delta.buckets).has_value());
-        rest = delta.rest;
-    } while (rest > 0);
+        BOOST_REQUIRE(entry.replaceBuckets(delta.buckets).has_value());
+        remainingBuckets = delta.remainingBuckets;
+    } while (remainingBuckets > 0);
     BOOST_TEST(entry.checksum() == leader.checksum());
     BOOST_TEST(entry.content().routes.size() == routeCount);
     BOOST_TEST(find(entry.content(), "r-5")->timeout.count() == 5000);
@@ -153,19 +153,19 @@
 
 BOOST_AUTO_TEST_CASE(rules_shared_by_routes_are_encoded_once_per_bucket)
 {
-    const RouteDocument alike = document(routeCount);
-    RouteDocument unlike = alike;
-    for (std::size_t i = 0; i < unlike.routes.size(); ++i) {
-        unlike.routes[i].timeout = Milliseconds(1000 + i);
+    const RouteDocument sharedRules = document(routeCount);
+    RouteDocument distinctRules = sharedRules;
+    for (std::size_t i = 0; i < distinctRules.routes.size(); ++i) {
+        distinctRules.routes[i].timeout = Milliseconds(1000 + i);
     }
     DocumentBuckets leader;
-    leader.set(alike);
-    const std::size_t bytesAlike = bytesOf(leader.deltaFrom({}));
-    leader.set(unlike);
+    leader.set(sharedRules);
+    const std::size_t sharedRulesBytes = bytesOf(leader.deltaFrom({}));
+    leader.set(distinctRules);
     const ContentDelta all = leader.deltaFrom({});
-    BOOST_TEST(bytesAlike * 2 < bytesOf(all));
+    BOOST_TEST(sharedRulesBytes * 2 < bytesOf(all));
     DocumentBuckets entry;
-    BOOST_REQUIRE(entry.take(all.buckets).has_value());
+    BOOST_REQUIRE(entry.replaceBuckets(all.buckets).has_value());
     BOOST_TEST(find(entry.content(), "r-3")->timeout.count() == 1003);
     BOOST_TEST(find(entry.content(), "r-1399")->timeout.count() == 2399);
 }
@@ -176,7 +176,7 @@
     leader.set(document(routeCount));
     const ContentDelta delta = leader.deltaFrom({}, 1);
     BOOST_TEST(delta.buckets.size() == 1U);
-    BOOST_TEST(delta.rest + 1U == leader.deltaFrom({}).buckets.size());
+    BOOST_TEST(delta.remainingBuckets + 1U == leader.deltaFrom({}).buckets.size());
 }
 
 BOOST_AUTO_TEST_CASE(malformed_buckets_are_rejected_without_effect)
@@ -184,8 +184,8 @@
     DocumentBuckets entry;
     entry.set(document(10));
     const std::uint64_t before = entry.checksum();
-    BOOST_TEST(!entry.take({{3, "malformed message bytes"}}).has_value());
-    BOOST_TEST(!entry.take({{DocumentBuckets::count, {}}}).has_value());
+    BOOST_TEST(!entry.replaceBuckets({{3, "malformed message bytes"}}).has_value());
+    BOOST_TEST(!entry.replaceBuckets({{DocumentBuckets::count, {}}}).has_value());
     BOOST_TEST(entry.checksum() == before);
 }
 
--- a/tests/support/cp_engine_fleet.hpp
+++ b/tests/support/cp_engine_fleet.hpp
@@ -304,7 +304,7 @@
         turn.id = conversation.name + "-" + std::to_string(conversation.turnsLeft);
         const std::size_t number = turns_.size();
         turns_.push_back(turn);
-        TurnToPlace unplacedTurn;
+        SlotRequest unplacedTurn;
         unplacedTurn.turn = turn.id;
         unplacedTurn.program = programNameOf(conversationNumber);
         unplacedTurn.service = "engines";
@@ -443,7 +443,7 @@
     std::vector<BackendServer> servers_;
     bool hasLeader_ = true;
     //! Turns that wait for a leader or a slot.
-    std::map<std::size_t, TurnToPlace> unplaced_;
+    std::map<std::size_t, SlotRequest> unplaced_;
     std::vector<ModelEngine> engines_;
     std::vector<bool> isBusy_;
     std::priority_queue<Event> events_;
--- a/tests/support/cp_journal_cluster.hpp
+++ b/tests/support/cp_journal_cluster.hpp
@@ -83,7 +83,7 @@
             throw Violation("cannot write to the replacement disk");
         }
         for (auto &[epoch, owner] : owners) {
-            owner->writer->invalidateMatch(name);
+            owner->writer->invalidateMatchIndex(name);
         }
     }
 
--- a/tests/support/cp_journal_fault_simulation.hpp
+++ b/tests/support/cp_journal_fault_simulation.hpp
@@ -62,7 +62,7 @@
         } else if (network.chance(0.08)) {
             network.cuts.clear();
         } else if (wipes && network.chance(0.02)) {
-            wipeIfRepaired();
+            wipeDiskIfCaughtUp();
         }
         for (const VmName &name : cluster_.names) {
             if (!cluster_.keepers.at(name).keeper && network.chance(0.1)) {
@@ -72,14 +72,14 @@
     }
 
     //! Only after the last wiped keeper has caught up: three replicas tolerate the loss of one disk at a time.
-    void wipeIfRepaired()
+    void wipeDiskIfCaughtUp()
     {
         const JournalWriter &writer = *cluster_.owners.rbegin()->second->writer;
         const bool isOpen = writer.phase() == JournalPhase::Open;
-        const bool isRepaired = lastWiped_.empty() || writer.matchOf(lastWiped_) >= writer.commitIndex();
+        const bool isCaughtUp = lastWiped_.empty() || writer.matchIndexOf(lastWiped_) >= writer.commitIndex();
         const auto isInitialized
             = [](const auto &item) { return item.second.keeper != nullptr && !item.second.keeper->isUninitialized(0); };
-        if (isOpen && isRepaired && std::all_of(cluster_.keepers.begin(), cluster_.keepers.end(), isInitialized)) {
+        if (isOpen && isCaughtUp && std::all_of(cluster_.keepers.begin(), cluster_.keepers.end(), isInitialized)) {
             lastWiped_ = randomKeeper();
             cluster_.wipe(lastWiped_);
         }
--- a/tests/support/cp_limiter_simulation.hpp
+++ b/tests/support/cp_limiter_simulation.hpp
@@ -152,7 +152,8 @@
         report_.clear();
         leader_ = 1 - leader_;
         start(leaders_[leader_]);
-        leaders_[leader_].takeOver(fault_ == InjectedFault::FullBucketAtTakeover ? UsageLog() : usage_, nowMs(), now_);
+        leaders_[leader_].restoreUsage(fault_ == InjectedFault::FullBucketAtTakeover ? UsageLog() : usage_, nowMs(),
+                                       now_);
     }
     void sendRequest()
     {
@@ -178,7 +179,7 @@
     bool send(RequestLimiter &limiter, const std::string &id)
     {
         const bool ignoresReports = fault_ == InjectedFault::NoSharedCount || fault_ == InjectedFault::AdmitsUnreported;
-        if (!ignoresReports && limiter.waitsForReport("a")) {
+        if (!ignoresReports && limiter.mustWaitForReport("a")) {
             return false;
         }
         const RequestLimiter::Decision decision = limiter.admit({"a", id, false}, now_);
--- a/tests/support/cp_raft_cluster.hpp
+++ b/tests/support/cp_raft_cluster.hpp
@@ -103,7 +103,7 @@
         RaftOptions options;
         options.self = member.name;
         options.seed = network.random();
-        options.snapshotPieceBytes = 64;
+        options.snapshotChunkBytes = 64;
         member.node = std::make_unique<RaftNode>(options, std::move(stored), initial, localTime(member));
     }
 
