--- a/include/cardamompost/limits/cp_request_limiter.hpp
+++ b/include/cardamompost/limits/cp_request_limiter.hpp
@@ -44,8 +44,8 @@
 
 //! Enforces the request limits of accounts for all entries.
 //!
-//! An account over its limit gets the requests of programs in progress and starts only as many new programs as it can
-//! finish; rejecting requests randomly would leave all its programs incomplete.
+//! If an account exceeds its limit, requests of programs in progress take precedence, and only as many new programs
+//! start as the limit can finish; rejecting requests randomly would leave all its programs incomplete.
 //! Thread-safety: none. Time is an argument.
 class RequestLimiter
 {
@@ -81,7 +81,7 @@
     //! Completes a report; one that was not stored is reported again.
     void endReport(const std::vector<AccountUsage> &report, bool isStored);
     [[nodiscard]] bool isReportDue(TimePoint now) const;
-    //! True while the account's unreported usage is at the tolerance; its next requests must wait for the report.
+    //! True while the account's unreported usage has reached its maximum; its next requests must wait for the report.
     [[nodiscard]] bool mustWaitForReport(const std::string &account) const;
     //! The limit in force; unbounded for an unknown account.
     [[nodiscard]] RequestLimit limitOf(const std::string &account) const
@@ -123,9 +123,9 @@
 
     private:
         // Extra slices hold the oldest, partly expired slice and delayed requests, which count at their sending time.
-        static constexpr std::size_t slices = slicesPerWindow + 5;
+        static constexpr std::size_t sliceCount = slicesPerWindow + 5;
 
-        std::array<std::uint32_t, slices> counts_ {};
+        std::array<std::uint32_t, sliceCount> counts_ {};
         std::int64_t lastSlice_ = 0;
     };
     struct Usage {
@@ -166,14 +166,14 @@
     [[nodiscard]] bool isDuplicate(std::string_view id, TimePoint now);
     //! \param wait       time until the request could be admitted if no other arrives
     //! \param perSecond  rate of admissions from then on
-    [[nodiscard]] static Decision refuse(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
+    [[nodiscard]] static Decision reject(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
                                          TimePoint now);
 
     LimitTolerance tolerance_;
     std::unordered_map<std::string, Usage> usages_;
-    TimePoint lastReport_ {};
+    TimePoint lastReportAt_ {};
     bool isReporting_ = false;
-    //! Some account has reached half of maxUnreported().
+    //! True if the unreported usage of some account has reached half of its maximum.
     bool isReportUrgent_ = false;
     RequestsPerProgram requestsPerProgram_;
     //! Ids of admitted requests: the current and the previous generation.
--- a/include/cardamompost/limits/cp_retry_budget.hpp
+++ b/include/cardamompost/limits/cp_retry_budget.hpp
@@ -7,7 +7,7 @@
 //! Limits retries to a share of first attempts, so that retries do not multiply the load on failing backend servers.
 //!
 //! Source: token-bucket retry throttling of gRPC (proposal A6).
-//! Thread-safety: none; the owner of the call queue holds its lock.
+//! Thread-safety: none.
 class RetryBudget
 {
 public:
--- a/include/cardamompost/limits/cp_token_bucket.hpp
+++ b/include/cardamompost/limits/cp_token_bucket.hpp
@@ -6,7 +6,7 @@
 namespace cardamompost
 {
 
-//! Token bucket. Thread-safety: none; the caller holds a lock.
+//! Token bucket. Thread-safety: none.
 class TokenBucket
 {
 public:
--- a/include/cardamompost/limits/cp_usage_log.hpp
+++ b/include/cardamompost/limits/cp_usage_log.hpp
@@ -37,11 +37,11 @@
             items_[usage.account].push_back({nowMs, usage.requests});
         }
         for (auto item = items_.begin(); item != items_.end();) {
-            std::deque<Item> &times = item->second;
-            while (!times.empty() && times.front().atMs < nowMs - retentionMs) {
-                times.pop_front();
+            std::deque<Item> &accountItems = item->second;
+            while (!accountItems.empty() && accountItems.front().atMs < nowMs - retentionMs) {
+                accountItems.pop_front();
             }
-            item = times.empty() ? items_.erase(item) : std::next(item);
+            item = accountItems.empty() ? items_.erase(item) : std::next(item);
         }
     }
     void restore(const std::string &account, Item item)
--- a/src/cardamompost/limits/cp_request_limiter.cpp
+++ b/src/cardamompost/limits/cp_request_limiter.cpp
@@ -22,13 +22,13 @@
 constexpr Milliseconds maxRetryAfter {2000};
 // Burst of new programs, in seconds of the account's rate.
 constexpr double programBurstSeconds = 4;
-// Share of the tolerated excess requests added to the burst; the rest covers the delay and unreported requests of
-// leader changes.
+// Share of the tolerated excess requests added to the burst as bucket capacity; the sliding window still enforces the
+// limit.
 constexpr double burstToleranceShare = 0.8;
 constexpr double minProgramBurst = 3;
 // Share of the bucket that new programs leave to programs in progress.
 constexpr double inProgressReserveShare = 0.25;
-// Prior of the mean, used until enough programs have been counted.
+// Prior of the mean, which counts as much as priorWeight programs.
 constexpr double priorRequestsPerProgram = 8;
 constexpr double priorWeight = 5;
 constexpr double requestsPerProgramHalfLifeSeconds = 5;
@@ -73,20 +73,21 @@
 void RequestLimiter::SlidingWindow::add(TimePoint now, Milliseconds slice)
 {
     const std::int64_t number = sliceNumber(now, slice);
-    for (std::int64_t i = std::max(lastSlice_ + 1, number - static_cast<std::int64_t>(slices) + 1); i <= number; ++i) {
-        counts_[static_cast<std::size_t>(i) % slices] = 0;
+    for (std::int64_t i = std::max(lastSlice_ + 1, number - static_cast<std::int64_t>(sliceCount) + 1); i <= number;
+         ++i) {
+        counts_[static_cast<std::size_t>(i) % sliceCount] = 0;
     }
     lastSlice_ = std::max(lastSlice_, number);
-    ++counts_[static_cast<std::size_t>(lastSlice_) % slices];
+    ++counts_[static_cast<std::size_t>(lastSlice_) % sliceCount];
 }
 
 double RequestLimiter::SlidingWindow::sum(TimePoint now, Milliseconds slice) const
 {
     const std::int64_t oldest = std::max(sliceNumber(now, slice) - static_cast<std::int64_t>(slicesPerWindow),
-                                         lastSlice_ - static_cast<std::int64_t>(slices) + 1);
+                                         lastSlice_ - static_cast<std::int64_t>(sliceCount) + 1);
     double sum = 0;
     for (std::int64_t i = oldest; i <= lastSlice_; ++i) {
-        sum += counts_[static_cast<std::size_t>(i) % slices];
+        sum += counts_[static_cast<std::size_t>(i) % sliceCount];
     }
     return sum;
 }
@@ -95,9 +96,10 @@
 {
     const std::int64_t current = sliceNumber(now, slice);
     for (std::int64_t i = current - static_cast<std::int64_t>(slicesPerWindow); i <= lastSlice_; ++i) {
-        if (i > lastSlice_ - static_cast<std::int64_t>(slices) && counts_[static_cast<std::size_t>(i) % slices] != 0) {
-            const auto leaves = (i + static_cast<std::int64_t>(slicesPerWindow) + 1) * slice;
-            return std::chrono::ceil<Milliseconds>(leaves - now.time_since_epoch());
+        if (i > lastSlice_ - static_cast<std::int64_t>(sliceCount)
+            && counts_[static_cast<std::size_t>(i) % sliceCount] != 0) {
+            const auto expiresAt = (i + static_cast<std::int64_t>(slicesPerWindow) + 1) * slice;
+            return std::chrono::ceil<Milliseconds>(expiresAt - now.time_since_epoch());
         }
     }
     return Milliseconds(0);
@@ -122,14 +124,14 @@
 
 void RequestLimiter::setLimits(const std::vector<Account> &accounts, TimePoint now)
 {
-    std::unordered_map<std::string, Usage> before = std::exchange(usages_, {});
+    std::unordered_map<std::string, Usage> previous = std::exchange(usages_, {});
     for (const Account &account : accounts) {
         if (!account.limit.isBounded()) {
             continue;
         }
-        const auto known = before.find(account.name);
-        Usage usage = known == before.end() ? Usage {} : known->second;
-        if (known == before.end()) {
+        const auto known = previous.find(account.name);
+        Usage usage = known == previous.end() ? Usage {} : known->second;
+        if (known == previous.end()) {
             usage.requests.reset(now);
             usage.programs.reset(now);
         } else {
@@ -148,7 +150,8 @@
         state.unreported = 0;
         state.inReport = 0;
         const double capacity = bucketCapacity(state.limit);
-        // Starts with full buckets before the oldest report, then replays the reports.
+        // The buckets start empty one retention time before the oldest possible report, so that they have refilled when
+        // the reported requests are taken from them.
         TimePoint at = now - Milliseconds(UsageLog::retentionMs);
         state.requests.reset(at - Milliseconds(UsageLog::retentionMs));
         state.programs.reset(at - Milliseconds(UsageLog::retentionMs));
@@ -193,7 +196,7 @@
             usage.inReport += std::exchange(usage.unreported, 0);
         }
     }
-    lastReport_ = now;
+    lastReportAt_ = now;
     isReporting_ = !report.empty();
     isReportUrgent_ = false;
     return report;
@@ -214,7 +217,7 @@
 
 bool RequestLimiter::isReportDue(TimePoint now) const
 {
-    return !isReporting_ && (isReportUrgent_ || now - lastReport_ >= reportInterval);
+    return !isReporting_ && (isReportUrgent_ || now - lastReportAt_ >= reportInterval);
 }
 
 bool RequestLimiter::mustWaitForReport(const std::string &account) const
@@ -235,7 +238,7 @@
     return recentIds_.contains(key) || olderIds_.contains(key);
 }
 
-RequestLimiter::Decision RequestLimiter::refuse(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
+RequestLimiter::Decision RequestLimiter::reject(Usage &usage, LimitReached reached, Milliseconds wait, double perSecond,
                                                 TimePoint now)
 {
     // Spaces the retry times, so that rejected requests do not return all at once.
@@ -279,20 +282,20 @@
     if (request.beginsProgram) {
         const double needed = std::min(capacity, 1 + inProgressReserveShare * capacity);
         if (usage.programs.tokens() < 1) {
-            return refuse(usage, LimitReached::Programs,
+            return reject(usage, LimitReached::Programs,
                           toMilliseconds((1 - usage.programs.tokens()) / programsPerSecond), programsPerSecond, now);
         }
         if (usage.requests.tokens() < needed) {
-            return refuse(usage, LimitReached::Rate, toMilliseconds((needed - usage.requests.tokens()) / perSecond),
+            return reject(usage, LimitReached::Rate, toMilliseconds((needed - usage.requests.tokens()) / perSecond),
                           perSecond, now);
         }
     }
     const Milliseconds delay = toMilliseconds(std::max(0.0, 1 - usage.requests.tokens()) / perSecond);
     if (delay > maxDelay) {
-        return refuse(usage, LimitReached::Rate, delay, perSecond, now);
+        return reject(usage, LimitReached::Rate, delay, perSecond, now);
     }
     if (const Milliseconds wait = timeUntilWindowAllows(usage, now); wait.count() > 0) {
-        return refuse(usage, LimitReached::Window, wait, perSecond, now);
+        return reject(usage, LimitReached::Window, wait, perSecond, now);
     }
     if (request.beginsProgram) {
         usage.programs.take();
--- a/src/cardamompost/limits/cp_retry_budget.cpp
+++ b/src/cardamompost/limits/cp_retry_budget.cpp
@@ -31,7 +31,6 @@
 
 bool RetryBudget::tryRetry()
 {
-    // Guards against a retry storm: with an empty bucket, retries cannot outpace new first attempts.
     if (!mayRetry()) {
         return false;
     }
--- a/tests/limits/cp_limits.tests.cpp
+++ b/tests/limits/cp_limits.tests.cpp
@@ -7,8 +7,8 @@
 
 BOOST_AUTO_TEST_SUITE(limits)
 
-// Guards against a retry storm when every replica of a deployment times out.
-BOOST_AUTO_TEST_CASE(retries_stay_a_share_of_first_attempts_while_all_replicas_fail)
+// Guards against a retry storm when all backend servers time out.
+BOOST_AUTO_TEST_CASE(retries_are_limited_to_a_share_of_first_attempts)
 {
     RetryBudget budget(0.1, 10.0);
     int retries = 0;
--- a/tests/limits/cp_request_limiter.tests.cpp
+++ b/tests/limits/cp_request_limiter.tests.cpp
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_SUITE(request_limiter)
 
-BOOST_AUTO_TEST_CASE(an_account_without_a_limit_is_never_refused)
+BOOST_AUTO_TEST_CASE(an_account_without_a_limit_is_never_rejected)
 {
     RequestLimiter limiter = makeIdleLimiter({account("free", {}), account("bound", {1, 1})});
     BOOST_TEST(admitted(limiter, "free", 1000, start) == 1000);
@@ -103,23 +103,23 @@
 BOOST_AUTO_TEST_CASE(programs_in_progress_take_precedence_over_new_ones)
 {
     RequestLimiter limiter = makeIdleLimiter({account("a", {100, 100})}, LimiterSimulation::tolerance());
-    constexpr int requestsAProgram = 10;
+    constexpr int requestsPerProgram = 10;
     constexpr Milliseconds step {100};
     struct Program {
         int done = 0;
-        bool isRefused = false;
+        bool isRejected = false;
     };
     const TimePoint end = start + Milliseconds(20'000);
     std::vector<Program> programs;
     int started = 0;
     int id = 0;
-    for (TimePoint now = start; now < end + requestsAProgram * step; now += step) {
+    for (TimePoint now = start; now < end + requestsPerProgram * step; now += step) {
         // Each program sends its next request once per step; new programs arrive far faster than the limit allows.
         for (Program &program : programs) {
-            if (!program.isRefused && program.done < requestsAProgram) {
+            if (!program.isRejected && program.done < requestsPerProgram) {
                 const bool isAdmitted = limiter.admit({"a", std::to_string(++id), false}, now).isAdmitted;
                 program.done += isAdmitted ? 1 : 0;
-                program.isRefused = !isAdmitted;
+                program.isRejected = !isAdmitted;
             }
         }
         for (int i = 0; i < 8 && now < end; ++i) {
@@ -130,7 +130,7 @@
         }
     }
     const auto complete = std::count_if(programs.begin(), programs.end(),
-                                        [](const Program &program) { return program.done == requestsAProgram; });
+                                        [](const Program &program) { return program.done == requestsPerProgram; });
     BOOST_TEST(started >= 150);
     BOOST_TEST(static_cast<double>(complete) >= 0.85 * started);
 }
@@ -158,7 +158,7 @@
 }
 
 // Guards against rejecting accounts within their limit after a leader change.
-BOOST_AUTO_TEST_CASE(a_leader_that_takes_over_knows_what_was_reported)
+BOOST_AUTO_TEST_CASE(a_new_leader_restores_the_reported_usage)
 {
     RequestLimiter first = makeIdleLimiter({account("a", {100, 100})}, LimiterSimulation::tolerance());
     const int before = admitted(first, "a", 20, start);
@@ -166,11 +166,11 @@
     usage.add(1000, first.takeReport(start));
     RequestLimiter second = makeIdleLimiter({account("a", {100, 100})}, LimiterSimulation::tolerance());
     second.restoreUsage(usage, 1000, start);
-    const int after = admitted(second, "a", 1000, start);
-    const int alone = admitted(first, "a", 1000, start);
+    const int admittedBySecond = admitted(second, "a", 1000, start);
+    const int admittedByFirst = admitted(first, "a", 1000, start);
     BOOST_TEST(before == 20);
-    BOOST_TEST(after >= alone - 2);
-    BOOST_TEST(after <= alone + 2);
+    BOOST_TEST(admittedBySecond >= admittedByFirst - 2);
+    BOOST_TEST(admittedBySecond <= admittedByFirst + 2);
 }
 
 BOOST_AUTO_TEST_CASE(an_account_waits_while_too_much_usage_is_unreported)
@@ -199,15 +199,15 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_exact_window_notices_each_planted_fault)
+BOOST_AUTO_TEST_CASE(the_window_check_detects_each_injected_fault)
 {
     for (const InjectedFault fault : {InjectedFault::FullBucketAtTakeover, InjectedFault::IgnoresDuplicates,
                                       InjectedFault::NoSharedCount, InjectedFault::AdmitsUnreported}) {
-        int noticed = 0;
+        int detected = 0;
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-            noticed += LimiterSimulation(seed, fault).run() > 0 ? 1 : 0;
+            detected += LimiterSimulation(seed, fault).run() > 0 ? 1 : 0;
         }
-        BOOST_TEST(noticed > 0);
+        BOOST_TEST(detected > 0);
     }
 }
 
--- a/tests/support/cp_limiter_simulation.hpp
+++ b/tests/support/cp_limiter_simulation.hpp
@@ -72,7 +72,7 @@
         , fault_(fault)
         , limit_ {uniform(2, 350), uniform(0, 350)}
         , windowCheck_(limit_, tolerance())
-        , load_(uniform(0.3, 12))
+        , loadFactor_(uniform(0.3, 12))
     {
         start(leaders_[0]);
         start(leaders_[1]);
@@ -91,7 +91,7 @@
         while (now_ < end) {
             now_ += std::chrono::microseconds(1
                                               + static_cast<int>(std::exponential_distribution<double>(1)(random_) * 1e6
-                                                                 / (limit_.perSecond * load_)));
+                                                                 / (limit_.perSecond * loadFactor_)));
             if (now_ >= nextLeaderChange) {
                 changeLeader();
                 nextLeaderChange = now_
@@ -194,7 +194,8 @@
     InjectedFault fault_;
     RequestLimit limit_;
     ExactWindowCheck windowCheck_;
-    double load_;
+    //! Requests sent per request that the rate allows.
+    double loadFactor_;
     TimePoint now_ {std::chrono::hours(1)};
     std::array<RequestLimiter, 2> leaders_;
     std::size_t leader_ = 0;
