--- a/src/gateway/cp_access_check.cpp
+++ b/src/gateway/cp_access_check.cpp
@@ -25,7 +25,7 @@
 {
 }
 
-bool AccessCheck::isDocumentStale() const
+bool AccessCheck::mustFailClosed() const
 {
     return parts_.settings.failsClosed && parts_.ledger.updateAge() > parts_.settings.revocationTime;
 }
@@ -60,7 +60,7 @@
     if (account == nullptr) {
         return unknownKeyResponse();
     }
-    if (isDocumentStale()) {
+    if (mustFailClosed()) {
         staleDocuments_.add();
         return LocalResponse {statusUnavailable, "can't verify that the key is still valid", retryAfterShort};
     }
--- a/src/gateway/cp_access_check.hpp
+++ b/src/gateway/cp_access_check.hpp
@@ -25,7 +25,7 @@
     [[nodiscard]] std::optional<LocalResponse> identify(ForwardedRequest &request);
     //! Checks a request that has waited against a newer document. \returns the refusal; nothing if it may proceed
     [[nodiscard]] std::optional<LocalResponse> recheck(const ForwardedRequest &request, const RouteTable &newest);
-    //! Waits for admission under the account's limit. A turn is admitted by its begin instead.
+    //! Waits for admission under the account's limit. A turn is admitted with its TurnBegin instead.
     //! \returns the refusal; nothing if the request may proceed
     boost::asio::awaitable<std::optional<LocalResponse>> admit(ForwardedRequest &request);
     //! The response to a request over the account's limit.
@@ -33,7 +33,8 @@
 
 private:
     [[nodiscard]] LocalResponse unknownKeyResponse();
-    [[nodiscard]] bool isDocumentStale() const;
+    //! True if this entry fails closed and has had no update from the ledger for longer than the revocation time.
+    [[nodiscard]] bool mustFailClosed() const;
 
     Parts parts_;
     Counter &unknownKeys_;
--- a/src/gateway/cp_backend_exchange.cpp
+++ b/src/gateway/cp_backend_exchange.cpp
@@ -30,7 +30,9 @@
 // Larger requests are written while the response is being read.
 constexpr std::size_t inlineSendBytes = 12U << 10U;
 constexpr int maxUnmatchedResponses = 4;
-constexpr Milliseconds defaultKeepAlive {4000};
+// Used if the server states no keep-alive timeout.
+constexpr Milliseconds defaultIdleTimeout {4000};
+// Tenths of the stated keep-alive timeout for which a connection is reused; the rest covers a request in transit.
 constexpr std::int64_t keepAliveTenths = 7;
 constexpr Milliseconds commitTimeout {2500};
 constexpr unsigned statusMisdirected = 421;
@@ -55,7 +57,8 @@
     std::string_view body;
     //! Owns the bytes that the history view refers to.
     std::shared_ptr<PendingBegin> begin;
-    std::string copy;
+    //! Holds the body while a large request is written.
+    std::string bodyCopy;
     bool isWritten = false;
 
     [[nodiscard]] std::array<asio::const_buffer, 3> buffers() const
@@ -100,7 +103,7 @@
 {
     startedAt_ = timeNow();
     const TimePoint deadline = request_.deadline + deadlineSlack;
-    // Without a response timeout, a lost response would go unnoticed until the caller gives up.
+    // Without a response timeout, a lost response would go unnoticed until the deadline.
     connection_->stream.expires_at(responseTimeout ? std::min(deadline, startedAt_ + *responseTimeout) : deadline);
     const bool isSent = co_await send();
     if (!isSent) {
@@ -121,11 +124,11 @@
     recordStatusAndLoad();
     if (isNotExecuted()) {
         std::string remainder;
-        boost::system::error_code drained;
-        while (!drained && !parser_->is_done()) {
-            drained = co_await readSome(remainder);
+        boost::system::error_code drainError;
+        while (!drainError && !parser_->is_done()) {
+            drainError = co_await readSome(remainder);
         }
-        if (!drained) {
+        if (!drainError) {
             releaseConnection();
         }
         co_return ExchangeEnd::NotExecuted;
@@ -134,7 +137,7 @@
     if (isStream) {
         co_return co_await relayStream();
     }
-    co_return co_await relayComplete();
+    co_return co_await relayBuffered();
 }
 
 std::optional<Milliseconds> BackendExchange::timeWithoutResponse() const
@@ -174,8 +177,8 @@
     }
     // Avoids a deadlock with a server that responds before it has read a long body. The body is copied because the
     // write may outlive the request.
-    outgoing_->copy = outgoing_->body;
-    outgoing_->body = outgoing_->copy;
+    outgoing_->bodyCopy = outgoing_->body;
+    outgoing_->body = outgoing_->bodyCopy;
     auto write = [](std::shared_ptr<OutgoingRequest> outgoing,
                     std::shared_ptr<BackendConnection> connection) -> asio::awaitable<void> {
         const auto [error, written] = co_await asio::async_write(connection->stream, outgoing->buffers(), asTuple);
@@ -193,7 +196,7 @@
         parser_->body_limit(boost::none);
         parser_->eager(true);
         parser_->skip(request_.message.method() == http::verb::head);
-        const auto [error, got]
+        const auto [error, bytesRead]
             = co_await http::async_read_header(connection_->stream, connection_->buffer, *parser_, asTuple);
         if (error) {
             co_return error;
@@ -231,7 +234,8 @@
     body.data = space.data();
     body.size = space.size();
     body.more = true;
-    auto [error, got] = co_await http::async_read_some(connection_->stream, connection_->buffer, *parser_, asTuple);
+    auto [error, bytesRead]
+        = co_await http::async_read_some(connection_->stream, connection_->buffer, *parser_, asTuple);
     bytes.append(space.data(), space.size() - body.size);
     if (error == http::error::need_buffer) {
         error = {};
@@ -260,12 +264,12 @@
 void BackendExchange::releaseConnection()
 {
     // A connection with unread or unmatched bytes is not reused.
-    const bool isClean = parser_->is_done() && parser_->get().keep_alive() && connection_->buffer.size() == 0
+    const bool isReusable = parser_->is_done() && parser_->get().keep_alive() && connection_->buffer.size() == 0
         && !hadUnmatchedResponse_ && outgoing_->isWritten;
-    if (!isClean) {
+    if (!isReusable) {
         return;
     }
-    Milliseconds idleTimeout = defaultKeepAlive;
+    Milliseconds idleTimeout = defaultIdleTimeout;
     const auto keepAlive = parser_->get().find(http::field::keep_alive);
     if (keepAlive != parser_->get().end()) {
         if (const std::optional<Milliseconds> stated = readKeepAlive(view(keepAlive->value()))) {
@@ -277,7 +281,7 @@
     parts_.pool.release(*backend_, connection_, now);
 }
 
-asio::awaitable<ExchangeEnd> BackendExchange::relayComplete()
+asio::awaitable<ExchangeEnd> BackendExchange::relayBuffered()
 {
     CallerConnection &caller = *request_.caller;
     std::string body;
@@ -309,8 +313,8 @@
     releaseConnection();
     std::string bytes;
     if (!request_.hasResponseStarted) {
-        const bool isHead = request_.message.method() == http::verb::head;
-        framing.length = isHead ? length.value_or(0) : body.size();
+        const bool isHeadRequest = request_.message.method() == http::verb::head;
+        framing.length = isHeadRequest ? length.value_or(0) : body.size();
         framing.keepsOpen = caller.keepsOpen();
         bytes = makeCallerHead(parser_->get().base(), parts_.names, framing) + body;
     } else if (!framing.length) {
@@ -386,7 +390,7 @@
     if (request_.begin && request_.route->keepsHistory) {
         // The end of the stream confirms the turn to the caller, so it is sent only after a quorum has stored the turn.
         const bool isDurable
-            = co_await parts_.ledger.finish(request_.finish(TurnEnding::Complete), timeNow() + commitTimeout);
+            = co_await parts_.ledger.finish(request_.makeFinish(TurnEnding::Complete), timeNow() + commitTimeout);
         if (!isDurable) {
             co_return ExchangeEnd::NotDurable;
         }
--- a/src/gateway/cp_backend_exchange.hpp
+++ b/src/gateway/cp_backend_exchange.hpp
@@ -38,16 +38,21 @@
     using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
     struct OutgoingRequest;
 
+    //! Sends the request; a large one is written in the background. \returns false if writing failed
     boost::asio::awaitable<bool> send();
     boost::asio::awaitable<boost::system::error_code> readHead();
+    //! \returns false if reading failed
     boost::asio::awaitable<bool> discardUnmatchedResponse();
     boost::asio::awaitable<boost::system::error_code> readSome(std::string &bytes);
-    boost::asio::awaitable<ExchangeEnd> relayComplete();
+    //! Relays a response that is not an event stream; a small one only once it is complete.
+    boost::asio::awaitable<ExchangeEnd> relayBuffered();
     boost::asio::awaitable<ExchangeEnd> relayStream();
+    //! \returns false if the caller has disconnected
     boost::asio::awaitable<bool> relayChunk(std::string bytes);
     boost::asio::awaitable<ExchangeEnd> endStream();
     [[nodiscard]] bool isNotExecuted() const;
     void recordStatusAndLoad();
+    //! Returns the connection to the pool if it can be reused.
     void releaseConnection();
     [[nodiscard]] ExchangeEnd endForError(const boost::system::error_code &error) const;
     [[nodiscard]] Milliseconds timeLeft() const;
--- a/src/gateway/cp_backend_pool.cpp
+++ b/src/gateway/cp_backend_pool.cpp
@@ -44,8 +44,8 @@
     ::setsockopt(stream.socket().native_handle(), level, name, &value, sizeof(value));
 }
 
-//! Detects connections that the peer or a middlebox has dropped silently. A request written to one would be lost, and
-//! one that is not repeatable could not be retried.
+//! Detects connections that the peer or a middlebox has dropped silently. A request written to one is lost, and
+//! can be retried only if it is repeatable.
 void enableKeepalive(boost::beast::tcp_stream &stream)
 {
     setOption(stream, IPPROTO_TCP, TCP_USER_TIMEOUT, userTimeoutMs);
@@ -65,8 +65,9 @@
 {
     // An idle connection has nothing to read; end of stream or stray bytes make it unusable.
     char byte = 0;
-    const auto got = ::recv(connection.stream.socket().native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
-    return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    const auto received
+        = ::recv(connection.stream.socket().native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
+    return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 } // namespace
@@ -124,8 +125,8 @@
         byId.emplace(server.id, std::move(state));
     }
     for (const auto &[id, state] : byId_) {
-        const auto now = byId.find(id);
-        if (now == byId.end() || now->second != state) {
+        const auto current = byId.find(id);
+        if (current == byId.end() || current->second != state) {
             state->server_.isLeaving = true;
             state->idle_.clear();
         }
@@ -139,8 +140,8 @@
 
 void BackendPool::sortByPreference(std::vector<std::shared_ptr<BackendState>> &servers) const
 {
-    // Servers in the own failure domain come first, then by a hash seeded with the entry's name. The preferences of
-    // entries overlap evenly, and a server that joins or leaves changes few of them.
+    // Servers in this entry's failure domain come first, then by a hash seeded with the entry's name. The preferences
+    // of entries overlap evenly, and a server that joins or leaves changes few of them.
     const auto order = [&](const std::shared_ptr<BackendState> &backend) {
         return std::pair(backend->server_.failureDomain != failureDomain_,
                          stableHash(vm_, stableHash(backend->server_.id)));
@@ -191,38 +192,38 @@
     if (usable.empty()) {
         return nullptr;
     }
-    return request.stickyPoint != 0 ? pickSticky(usable, request, now) : pickLeastLoaded(usable, now);
+    return request.stickyHash != 0 ? pickSticky(usable, request, now) : pickLeastLoaded(usable, now);
 }
 
 std::shared_ptr<BackendState> BackendPool::pickSticky(const std::vector<std::shared_ptr<BackendState>> &usable,
                                                       const PickRequest &request, TimePoint now) const
 {
-    // Rendezvous hashing: all entries order the servers of a point alike, and a server that joins or leaves moves only
-    // its own share of the points.
+    // Rendezvous hashing: all entries order the servers alike for the same sticky hash, and a server that joins or
+    // leaves moves only its own share of the requests.
     std::vector<std::pair<std::uint64_t, std::shared_ptr<BackendState>>> order;
     for (const auto &backend : usable) {
-        order.emplace_back(stableHash(backend->server_.id, request.stickyPoint), backend);
+        order.emplace_back(stableHash(backend->server_.id, request.stickyHash), backend);
     }
     std::sort(order.begin(), order.end(), [](const auto &left, const auto &right) { return left.first > right.first; });
-    const auto share = [&](const auto &item) { return item.second->load(now) / item.second->server().slots; };
+    const auto loadShare = [&](const auto &item) { return item.second->load(now) / item.second->server().slots; };
     for (const auto &item : order) {
-        if (share(item) < request.stickyLoadLimit) {
+        if (loadShare(item) < request.stickyLoadLimit) {
             return item.second;
         }
     }
     return std::min_element(order.begin(), order.end(),
-                            [&](const auto &left, const auto &right) { return share(left) < share(right); })
+                            [&](const auto &left, const auto &right) { return loadShare(left) < loadShare(right); })
         ->second;
 }
 
 std::shared_ptr<BackendState> BackendPool::pickPreferred(const std::vector<std::shared_ptr<BackendState>> &usable,
                                                          TimePoint now) const
 {
-    const auto share = [&](const auto &backend) { return backend->load(now) / backend->server().slots; };
+    const auto loadShare = [&](const auto &backend) { return backend->load(now) / backend->server().slots; };
     const auto end = usable.begin() + static_cast<std::ptrdiff_t>(std::min(preferredServers, usable.size()));
     const auto least = std::min_element(
-        usable.begin(), end, [&](const auto &left, const auto &right) { return share(left) < share(right); });
-    return least != end && share(*least) < preferredLoadLimit ? *least : nullptr;
+        usable.begin(), end, [&](const auto &left, const auto &right) { return loadShare(left) < loadShare(right); });
+    return least != end && loadShare(*least) < preferredLoadLimit ? *least : nullptr;
 }
 
 std::shared_ptr<BackendState> BackendPool::pickLeastLoaded(const std::vector<std::shared_ptr<BackendState>> &usable,
@@ -233,8 +234,8 @@
     }
     // Compares a few random servers. Otherwise all entries would pick the same least loaded one until its next report.
     const auto cost = [&](const BackendState &backend) {
-        const double domain = backend.server().failureDomain == failureDomain_ ? 0 : otherDomainPenalty;
-        return backend.load(now) / backend.server().slots + domain;
+        const double domainPenalty = backend.server().failureDomain == failureDomain_ ? 0 : otherDomainPenalty;
+        return backend.load(now) / backend.server().slots + domainPenalty;
     };
     std::shared_ptr<BackendState> best;
     for (std::size_t i = 0; i < sampledServers; ++i) {
@@ -296,21 +297,21 @@
 
 bool BackendPool::recordFailure(BackendState &backend, TimePoint now)
 {
-    // After a crash or a silent close, every idle connection would lose one request. A failing server also looks idle,
-    // and so attracts more requests.
+    // After a crash or a silent close, every idle connection would lose one request.
     backend.idle_.clear();
     ++backend.consecutiveFailures_;
     const auto service = byService_.find(backend.server_.service);
     if (backend.consecutiveFailures_ < failuresUntilEjection || service == byService_.end()) {
         return false;
     }
-    const auto ejectedBackends = std::count_if(service->second.begin(), service->second.end(),
-                                               [&](const auto &other) { return other->isEjected(now); });
+    const auto ejectedCount = std::count_if(service->second.begin(), service->second.end(),
+                                            [&](const auto &other) { return other->isEjected(now); });
     // Limits ejection so that the remaining servers are not overloaded.
     const auto maxEjected = static_cast<double>(service->second.size()) * maxEjectedShare;
-    if (static_cast<double>(ejectedBackends) >= maxEjected) {
+    if (static_cast<double>(ejectedCount) >= maxEjected) {
         return false;
     }
+    // A failing server has few requests in flight, so it would otherwise attract more of them.
     backend.ejectUntil(now + ejectionTime);
     return true;
 }
--- a/src/gateway/cp_backend_pool.hpp
+++ b/src/gateway/cp_backend_pool.hpp
@@ -33,7 +33,8 @@
     TimePoint reusableUntil {};
 };
 
-//! A backend server as seen by one entry. Requests in flight share ownership, so it outlives its removal from the list.
+//! A backend server as seen by one entry. Requests in flight share ownership, so its state outlives its removal from
+//! the list.
 class BackendState
 {
 public:
@@ -46,8 +47,8 @@
     {
         return server_;
     }
-    //! Estimated requests at the server: this entry's own in flight, and a decaying share of those last reported of
-    //! others.
+    //! Estimated requests at the server: this entry's own in flight, and those of others as last reported, which decay
+    //! with the report's age.
     [[nodiscard]] double load(TimePoint now) const;
     //! Records the load that the server reported.
     void report(unsigned running, unsigned waiting, TimePoint now);
@@ -103,7 +104,7 @@
 struct PickRequest {
     std::string_view service;
     //! Requests with the same value prefer the same server on every entry; 0 for no preference.
-    std::uint64_t stickyPoint = 0;
+    std::uint64_t stickyHash = 0;
     //! Ids of servers already tried for this request.
     std::set<std::string> tried {};
     //! Share of its slots above which a server loses its sticky requests.
--- a/src/gateway/cp_caller_connection.cpp
+++ b/src/gateway/cp_caller_connection.cpp
@@ -49,10 +49,10 @@
 void CallerConnection::onReadable()
 {
     char byte = 0;
-    const auto got = ::recv(stream_.socket().native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
-    const bool isEmpty = got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    const auto received = ::recv(stream_.socket().native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
+    const bool isEmpty = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
     // Readable bytes are the caller's next request, which is read later.
-    if (got > 0 || isEmpty) {
+    if (received > 0 || isEmpty) {
         return;
     }
     isDisconnected_ = true;
--- a/src/gateway/cp_directory_server.cpp
+++ b/src/gateway/cp_directory_server.cpp
@@ -37,21 +37,21 @@
 {
     const TimePoint now = std::chrono::steady_clock::now();
     const auto zone = request.query.find("zone");
-    const std::string domain = zone == request.query.end() ? std::string() : zone->second;
-    const std::vector<std::string> addresses = addressesFor(domain, parts_.presence.ready(now), maxAddresses);
+    const std::string failureDomain = zone == request.query.end() ? std::string() : zone->second;
+    const std::vector<std::string> addresses = addressesFor(failureDomain, parts_.presence.ready(now), maxAddresses);
     if (addresses.empty()) {
         return unavailableResponse("no entry is ready");
     }
-    return jsonResponse(statusOk, parts_.adapter.writeDirectory(addresses, lifetimeFor(domain, now)));
+    return jsonResponse(statusOk, parts_.adapter.writeDirectory(addresses, lifetimeFor(failureDomain, now)));
 }
 
-Milliseconds DirectoryServer::lifetimeFor(const std::string &domain, TimePoint now) const
+Milliseconds DirectoryServer::lifetimeFor(const std::string &failureDomain, TimePoint now) const
 {
     // A lookup at an unreachable directory delays the caller until it times out and asks another, so callers should ask
     // less often the more of their directories are unreachable. Lifetimes are short otherwise, because a cached
     // response may list an entry that has failed since.
     const GatewaySettings &settings = parts_.settings;
-    const double unreachableShare = parts_.presence.unreachableShare(domain, now);
+    const double unreachableShare = parts_.presence.unreachableShare(failureDomain, now);
     const auto extension
         = static_cast<double>((settings.directoryLifetimeUnreachable - settings.directoryLifetime).count());
     return settings.directoryLifetime + Milliseconds(static_cast<std::int64_t>(extension * unreachableShare));
--- a/src/gateway/cp_directory_server.hpp
+++ b/src/gateway/cp_directory_server.hpp
@@ -32,7 +32,7 @@
     boost::asio::awaitable<void> onRequest(HttpRequest &request, IHttpResponder &responder);
     [[nodiscard]] HttpResponse directoryResponse(const HttpRequest &request) const;
     //! How long callers in a failure domain may cache a response.
-    [[nodiscard]] Milliseconds lifetimeFor(const std::string &domain, TimePoint now) const;
+    [[nodiscard]] Milliseconds lifetimeFor(const std::string &failureDomain, TimePoint now) const;
 
     Parts parts_;
     HttpServer server_;
--- a/src/gateway/cp_entry_server.cpp
+++ b/src/gateway/cp_entry_server.cpp
@@ -28,7 +28,7 @@
 constexpr Milliseconds acceptRetryDelay {20};
 constexpr std::size_t firstReadBytes = 8U << 10U;
 constexpr unsigned statusOk = 200;
-constexpr unsigned statusInvalid = 400;
+constexpr unsigned statusBadRequest = 400;
 constexpr unsigned statusRequestTimeout = 408;
 constexpr unsigned statusTooLarge = 413;
 constexpr unsigned statusHeadersTooLarge = 431;
@@ -49,7 +49,7 @@
     const bool isMalformed = error.category() == make_error_code(http::error::bad_method).category()
         && error != http::error::end_of_stream && error != http::error::partial_message;
     if (isMalformed) {
-        return LocalResponse {statusInvalid, "the request is not valid HTTP/1.1", {}};
+        return LocalResponse {statusBadRequest, "the request is not valid HTTP/1.1", {}};
     }
     return std::nullopt;
 }
--- a/src/gateway/cp_forwarded_request.cpp
+++ b/src/gateway/cp_forwarded_request.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-TurnFinish ForwardedRequest::finish(TurnEnding ending)
+TurnFinish ForwardedRequest::makeFinish(TurnEnding ending)
 {
     TurnFinish finish;
     finish.turn = turnId();
--- a/src/gateway/cp_forwarded_request.hpp
+++ b/src/gateway/cp_forwarded_request.hpp
@@ -48,7 +48,8 @@
     const Route *route = nullptr;
     const BackendService *service = nullptr;
     RequestMetadata metadata;
-    //! Hash of the caller's key; nothing if there is none or no keys are required.
+    //! Hash of the caller's key; nothing if the caller sent none or several different ones, or the document has no
+    //! accounts.
     std::optional<KeyHash> keyHash;
     //! Name of the client account that holds the key; empty if there is none.
     std::string account;
@@ -70,16 +71,19 @@
 
     //! Ids of servers tried.
     std::set<std::string> tried;
+    //! Attempts at which the request was sent; set to the maximum to prevent another attempt.
     unsigned sends = 0;
     //! Attempts that may have been executed.
     unsigned runs = 0;
     std::shared_ptr<BackendConnection> connection;
     std::string lastBackend;
-    //! Time until the ledger's leader admitted the request.
+    //! Time from arrival until the ledger admitted or refused the request, or the wait for it ended.
     Milliseconds admissionTime {0};
     bool isPlacedByLeader = false;
     unsigned status = 0;
+    //! How the request ended, as logged.
     std::string_view cause;
+    //! Error of the last attempt that failed.
     std::string detail;
 
     //! Ids scoped to the account, as used in the ledger.
@@ -98,10 +102,11 @@
     //! Priority by account, then by route; 0 is the highest.
     [[nodiscard]] unsigned rank() const
     {
-        constexpr unsigned routeRanks = 1000;
-        const unsigned own = std::min(route->rank, routeRanks - 1);
-        return std::min(accountRank.value_or(own), routeRanks) * routeRanks + own;
+        constexpr unsigned ranksPerAccount = 1000;
+        const unsigned routeRank = std::min(route->rank, ranksPerAccount - 1);
+        return std::min(accountRank.value_or(routeRank), ranksPerAccount) * ranksPerAccount + routeRank;
     }
+    //! True for a turn of a program: a stream that keeps history or has a token budget.
     [[nodiscard]] bool isTurn() const
     {
         return route->kind == RouteKind::Streaming && (route->keepsHistory || metadata.budget >= 0);
@@ -115,7 +120,8 @@
     {
         return static_cast<std::int64_t>(eventScanner.eventCount()) * service->engine.tokensPerEvent;
     }
-    [[nodiscard]] TurnFinish finish(TurnEnding ending);
+    //! The message that reports the turn's end to the ledger.
+    [[nodiscard]] TurnFinish makeFinish(TurnEnding ending);
     //! Key shared by requests that benefit from reaching the same server; empty for none.
     [[nodiscard]] const std::string &stickyKey() const;
 };
--- a/src/gateway/cp_forwarder.cpp
+++ b/src/gateway/cp_forwarder.cpp
@@ -18,7 +18,7 @@
 constexpr unsigned statusNotFound = 404;
 constexpr unsigned statusBadGateway = 502;
 constexpr unsigned statusUnavailable = 503;
-constexpr unsigned statusTimeout = 504;
+constexpr unsigned statusGatewayTimeout = 504;
 constexpr Milliseconds connectTimeout {400};
 constexpr Milliseconds connectEjectionTime {1000};
 // A caller that disconnects after waiting this long counts as a failure of the server.
@@ -28,7 +28,7 @@
 constexpr Milliseconds finishTimeout {6000};
 constexpr Milliseconds retryAfterShort {250};
 constexpr Milliseconds retryAfterLong {500};
-// Attempts that may end without execution before the request is refused.
+// Attempts after which a request that was not executed is not tried again.
 constexpr unsigned maxSends = 4;
 // Share of a server's slots above which requests leave their sticky server. Engines have the higher limit, since a
 // cached prompt saves more than other cached data.
@@ -70,8 +70,8 @@
 
 Forwarder::RetryState *Forwarder::retryStateFor(const ForwardedRequest &request)
 {
-    const bool isRepeatable = request.isRepeatable() && request.route->maxAttempts > 1;
-    return isRepeatable ? &retryStates_[request.route->name] : nullptr;
+    const bool isRetryable = request.isRepeatable() && request.route->maxAttempts > 1;
+    return isRetryable ? &retryStates_[request.route->name] : nullptr;
 }
 
 asio::awaitable<void> Forwarder::forward(CallerRequest message, std::shared_ptr<CallerConnection> caller)
@@ -140,8 +140,8 @@
         co_await refuse(request, refusal);
         co_return;
     }
-    const bool hasBegun = co_await beginTurn(request);
-    if (hasBegun) {
+    const bool mayForward = co_await beginTurn(request);
+    if (mayForward) {
         co_await tryBackends(request);
         finishTurn(request);
     }
@@ -200,7 +200,7 @@
     begin.account = request.isLimited ? request.account : std::string();
     begin.maxTokens = request.metadata.maxOutputTokens;
     begin.budget = request.metadata.budget;
-    begin.retentionMs = request.finish(TurnEnding::NotRun).retentionMs;
+    begin.retentionMs = request.makeFinish(TurnEnding::NotRun).retentionMs;
     if (request.service->isEngine) {
         begin.placement = placementRequestFor(request);
     }
@@ -275,17 +275,17 @@
             hasNextAttempt = co_await retryOrFinish(request, ExchangeEnd::NotExecuted, {});
             continue;
         }
-        const std::string id = backend->server().id;
+        const std::string backendId = backend->server().id;
         request.connection = co_await connect(request, backend);
         if (!request.connection) {
-            request.tried.insert(id);
+            request.tried.insert(backendId);
             if (++connectFailures >= maxConnectFailures) {
                 request.sends = maxSends;
             }
-            hasNextAttempt = co_await retryOrFinish(request, ExchangeEnd::NotExecuted, id);
+            hasNextAttempt = co_await retryOrFinish(request, ExchangeEnd::NotExecuted, backendId);
             continue;
         }
-        request.lastBackend = id;
+        request.lastBackend = backendId;
         BackendExchange exchange({parts_.io, parts_.adapter.headers(), parts_.pool, parts_.ledger}, request, backend,
                                  request.connection);
         const std::optional<Milliseconds> responseTimeout = responseTimeoutFor(request);
@@ -302,7 +302,7 @@
             backend->recordSuccess();
         }
         ++request.sends;
-        hasNextAttempt = co_await retryOrFinish(request, end, id);
+        hasNextAttempt = co_await retryOrFinish(request, end, backendId);
     }
 }
 
@@ -343,19 +343,19 @@
     }
 }
 
-asio::awaitable<bool> Forwarder::retryOrFinish(ForwardedRequest &request, ExchangeEnd end, const std::string &backend)
+asio::awaitable<bool> Forwarder::retryOrFinish(ForwardedRequest &request, ExchangeEnd end, const std::string &backendId)
 {
     request.cause = nameOf(exchangeEndNames, end);
-    request.tried.insert(backend);
+    request.tried.insert(backendId);
     request.runs += end == ExchangeEnd::NotExecuted ? 0 : 1;
-    const bool hasTime = timeNow() < request.deadline;
+    const bool hasTimeLeft = timeNow() < request.deadline;
     LocalResponse final {statusBadGateway, "no response from the backend server", Milliseconds(0)};
     switch (end) {
     case ExchangeEnd::Completed:
     case ExchangeEnd::CallerDisconnected:
         co_return false;
     case ExchangeEnd::NotExecuted:
-        if (request.sends < maxSends && hasTime) {
+        if (request.sends < maxSends && hasTimeLeft) {
             co_return true;
         }
         if (request.runs == 0) {
@@ -366,7 +366,7 @@
     case ExchangeEnd::ResponseOverdue:
     case ExchangeEnd::Interrupted: {
         RetryState *retryState = retryStateFor(request);
-        const bool canRetry = retryState != nullptr && request.runs < request.route->maxAttempts && hasTime;
+        const bool canRetry = retryState != nullptr && request.runs < request.route->maxAttempts && hasTimeLeft;
         if (canRetry && retryState->budget.tryRetry()) {
             (request.hasResponseStarted ? resumedStreams_ : retries_).add();
             co_return true;
@@ -374,7 +374,7 @@
         break;
     }
     case ExchangeEnd::TimedOut:
-        final = {statusTimeout, "the request's deadline has passed", Milliseconds(0)};
+        final = {statusGatewayTimeout, "the request's deadline has passed", Milliseconds(0)};
         break;
     case ExchangeEnd::NotGranted:
     case ExchangeEnd::NotDurable:
@@ -401,10 +401,10 @@
     if (request.isResponseComplete) {
         ending = TurnEnding::Complete;
     }
-    auto work = [](LedgerClient &ledger, TurnFinish finish) -> asio::awaitable<void> {
+    auto sendFinish = [](LedgerClient &ledger, TurnFinish finish) -> asio::awaitable<void> {
         co_await ledger.finish(std::move(finish), timeNow() + finishTimeout);
     };
-    asio::co_spawn(parts_.io, work(parts_.ledger, request.finish(ending)), asio::detached);
+    asio::co_spawn(parts_.io, sendFinish(parts_.ledger, request.makeFinish(ending)), asio::detached);
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_forwarder.hpp
+++ b/src/gateway/cp_forwarder.hpp
@@ -13,10 +13,12 @@
 namespace cardamompost
 {
 
-//! Forwards callers' requests to backend servers and relays the responses, once the ledger has admitted them.
+//! Forwards callers' requests to backend servers and relays the responses. Turns and requests of accounts with a limit
+//! need admission by the ledger first.
 //!
-//! The route's kind alone decides which requests may be retried. The caller gets its final response as soon as the
-//! outcome is known; the status tells whether the request may have been executed.
+//! A request that was not executed is retried on another server. One that may have been executed is retried only if
+//! its route is safe or its stream resumable. The caller gets its final response as soon as the outcome is known; the
+//! status tells whether the request may have been executed.
 class Forwarder
 {
 public:
@@ -58,15 +60,18 @@
     //! Null if the request must not be retried.
     [[nodiscard]] RetryState *retryStateFor(const ForwardedRequest &request);
     boost::asio::awaitable<void> run(ForwardedRequest &request);
+    //! Sets the request's route, service and deadline. \returns false if no route matches
     [[nodiscard]] bool findRoute(ForwardedRequest &request);
     //! The response to a request that matches no route.
     [[nodiscard]] LocalResponse noRouteResponse() const;
     [[nodiscard]] PlacementRequest placementRequestFor(const ForwardedRequest &request) const;
     //! The next server to try; null if there is none or the deadline has passed.
     [[nodiscard]] std::shared_ptr<BackendState> chooseBackend(ForwardedRequest &request);
-    //! Waits for admission of a turn, or refuses it. \returns true if the request may be forwarded
+    //! Waits for admission if the request is a turn, and refuses one that is not admitted.
+    //! \returns true if the request may be forwarded
     boost::asio::awaitable<bool> beginTurn(ForwardedRequest &request);
     boost::asio::awaitable<void> tryBackends(ForwardedRequest &request);
+    //! An idle or new connection; null if the server can't be reached, which ejects it.
     boost::asio::awaitable<std::shared_ptr<BackendConnection>> connect(ForwardedRequest &request,
                                                                        std::shared_ptr<BackendState> backend);
     //! Time to wait for the head of the response; nothing if the request can't be retried on another server.
@@ -75,9 +80,13 @@
     boost::asio::awaitable<void> refuse(ForwardedRequest &request, LocalResponse refusal);
     void recordLostRequest(BackendState &backend, const ForwardedRequest &request);
     void recordResponse(const ForwardedRequest &request, ExchangeEnd end, std::optional<Milliseconds> time);
-    //! Evaluates an attempt, and sends the final response unless another one follows.
+    //! Decides after an attempt whether to try again. If not, the caller gets a final response, or its connection is
+    //! reset if a response has started.
+    //! \param backendId  the server that was tried; empty if there was none
     //! \returns true if the request should be tried again
-    boost::asio::awaitable<bool> retryOrFinish(ForwardedRequest &request, ExchangeEnd end, const std::string &backend);
+    boost::asio::awaitable<bool> retryOrFinish(ForwardedRequest &request, ExchangeEnd end,
+                                               const std::string &backendId);
+    //! Reports the end of a turn to the ledger in the background.
     void finishTurn(ForwardedRequest &request);
 
     Parts parts_;
--- a/src/gateway/cp_gateway.cpp
+++ b/src/gateway/cp_gateway.cpp
@@ -19,7 +19,8 @@
 {
 
 constexpr Milliseconds drainPollInterval {50};
-// A draining entry serves at least this long, because callers may have cached a directory response that lists it.
+// Time for which a draining entry accepts connections if its grace period is long enough, because callers may have
+// cached a directory response that lists it.
 constexpr Milliseconds minDrainTime {4200};
 // The process exits this long before the end of the grace period, even with requests in flight.
 constexpr Milliseconds shutdownMargin {600};
@@ -31,7 +32,7 @@
 
 // Segments are small because one is held in memory during compaction and recovery. Most expired records are in the
 // oldest segments, so a high share of live data is cheap to keep.
-constexpr LogStoreOptions ledgerStore {4U << 20U, 0.6};
+constexpr LogStoreOptions ledgerStoreOptions {4U << 20U, 0.6};
 
 //! Includes time in which the VM was suspended, unlike the steady clock.
 std::chrono::nanoseconds timeSinceBoot()
@@ -107,7 +108,7 @@
     peerServer_
         = std::make_unique<PeerServer>(io_.get_executor(), nullptr, traffic_,
                                        [this](FrameBody body, Milliseconds, std::shared_ptr<PeerReplier> replier) {
-                                           onPeer(std::move(body), replier);
+                                           onPeerMessage(std::move(body), replier);
                                        });
     BOOST_OUTCOME_TRYV(peerServer_->listen(settings_.peerListen));
     BOOST_OUTCOME_TRYV(api_->listen());
@@ -128,7 +129,7 @@
 Result<void> Gateway::openDisk()
 {
     BOOST_OUTCOME_TRY(auto files, openFolder_(settings_.dataFolder));
-    auto disk = std::make_unique<DiskThread>(std::move(files), log_, metrics_, ledgerStore);
+    auto disk = std::make_unique<DiskThread>(std::move(files), log_, metrics_, ledgerStoreOptions);
     BOOST_OUTCOME_TRYV(disk->open());
     disk_ = std::move(disk);
     return boost::outcome_v2::success();
@@ -166,7 +167,7 @@
     io_.stop();
 }
 
-void Gateway::onPeer(FrameBody body, const std::shared_ptr<PeerReplier> &replier)
+void Gateway::onPeerMessage(FrameBody body, const std::shared_ptr<PeerReplier> &replier)
 {
     if (auto *raft = std::get_if<RaftMessage>(&body)) {
         ledger_->onRaft(std::move(*raft));
--- a/src/gateway/cp_gateway.hpp
+++ b/src/gateway/cp_gateway.hpp
@@ -64,7 +64,7 @@
     void drain();
     boost::asio::awaitable<void> drainEntry();
     boost::asio::awaitable<void> drainLedger();
-    void onPeer(FrameBody body, const std::shared_ptr<PeerReplier> &replier);
+    void onPeerMessage(FrameBody body, const std::shared_ptr<PeerReplier> &replier);
 
     GatewaySettings settings_;
     std::unique_ptr<const IPlatformAdapter> adapter_;
--- a/src/gateway/cp_gateway_settings.cpp
+++ b/src/gateway/cp_gateway_settings.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t maxToleratedLosses = 4;
 constexpr std::int64_t defaultGraceMs = 8000;
-constexpr std::int64_t defaultLifetimeMs = 300;
+constexpr std::int64_t defaultDirectoryLifetimeMs = 300;
 constexpr std::int64_t defaultLifetimeUnreachableMs = 3000;
 constexpr std::int64_t defaultListIntervalMs = 800;
 constexpr std::int64_t defaultRevocationMs = 5000;
@@ -59,7 +59,7 @@
     settings.memoryBytes
         = static_cast<std::size_t>(reader.integer("memory_mb", defaultMemoryMb, minMemoryMb, maxMemoryMb)) << 20U;
     settings.grace = duration("grace_ms", defaultGraceMs);
-    settings.directoryLifetime = duration("directory_lifetime_ms", defaultLifetimeMs);
+    settings.directoryLifetime = duration("directory_lifetime_ms", defaultDirectoryLifetimeMs);
     settings.directoryLifetimeUnreachable = duration("directory_lifetime_dark_ms", defaultLifetimeUnreachableMs);
     settings.listInterval = duration("list_interval_ms", defaultListIntervalMs);
     settings.revocationTime = duration("revocation_ms", defaultRevocationMs);
--- a/src/gateway/cp_gateway_settings.hpp
+++ b/src/gateway/cp_gateway_settings.hpp
@@ -38,7 +38,7 @@
     //! Ledger: addresses of the operators' interface and of the directory.
     Address control;
     Address directory;
-    //! Ledger: address from which the list of backend servers is read.
+    //! Ledger: address from which the list of backend servers is read, and the interval between reads.
     Address backendList;
     Milliseconds listInterval {0};
     std::string dataFolder;
--- a/src/gateway/cp_local_responses.hpp
+++ b/src/gateway/cp_local_responses.hpp
@@ -9,10 +9,11 @@
 namespace cardamompost
 {
 
+// Status codes and responses shared by the gateway's own HTTP interfaces.
+
 inline constexpr unsigned statusOk = 200;
 inline constexpr unsigned statusNotFound = 404;
 
-//! Responses shared by the gateway's own HTTP interfaces.
 inline HttpResponse jsonResponse(unsigned status, std::string body)
 {
     HttpResponse response;
--- a/src/gateway/cp_presence_table.cpp
+++ b/src/gateway/cp_presence_table.cpp
@@ -46,10 +46,11 @@
     double total = 0;
     double unreachable = 0;
     for (const auto &[vm, member] : members_) {
-        const auto silence = now - member.lastHeartbeat;
-        if (member.presence.isDirectory && member.presence.failureDomain == failureDomain && silence < forgottenAfter) {
+        const auto timeSinceHeartbeat = now - member.lastHeartbeat;
+        if (member.presence.isDirectory && member.presence.failureDomain == failureDomain
+            && timeSinceHeartbeat < ignoredAfter) {
             total += 1;
-            unreachable += silence >= unreachableAfter ? 1 : 0;
+            unreachable += timeSinceHeartbeat >= unreachableAfter ? 1 : 0;
         }
     }
     return total == 0 ? 0 : unreachable / total;
--- a/src/gateway/cp_presence_table.hpp
+++ b/src/gateway/cp_presence_table.hpp
@@ -20,7 +20,7 @@
     //! Time without a heartbeat after which a directory counts as unreachable.
     static constexpr Milliseconds unreachableAfter {600};
     //! Time without a heartbeat after which a directory is ignored.
-    static constexpr Milliseconds forgottenAfter {20'000};
+    static constexpr Milliseconds ignoredAfter {20'000};
 
     //! Records a heartbeat. \returns true if the sender is new, or its address or readiness has changed
     bool record(const Presence &presence, TimePoint now);
--- a/src/gateway/cp_request_report.cpp
+++ b/src/gateway/cp_request_report.cpp
@@ -16,8 +16,8 @@
 //! Whether the request was executed, as a metric label.
 std::string_view outcomeOf(const ForwardedRequest &request)
 {
-    const bool isAnswered = request.cause == nameOf(exchangeEndNames, ExchangeEnd::Completed);
-    if (isAnswered) {
+    const bool isCompleted = request.cause == nameOf(exchangeEndNames, ExchangeEnd::Completed);
+    if (isCompleted) {
         return "ran";
     }
     return request.runs == 0 ? "not-run" : "unknown";
@@ -33,16 +33,16 @@
 
 void RequestReport::end(const ForwardedRequest &request) const
 {
-    const auto time = std::chrono::steady_clock::now() - request.arrived;
-    const auto ms = std::chrono::duration_cast<Milliseconds>(time).count();
-    const std::string workClass = request.route == nullptr ? std::string("none") : request.route->name;
+    const auto elapsed = std::chrono::steady_clock::now() - request.arrived;
+    const auto ms = std::chrono::duration_cast<Milliseconds>(elapsed).count();
+    const std::string routeName = request.route == nullptr ? std::string("none") : request.route->name;
     const std::string kind(request.route == nullptr ? "none" : nameOf(routeKindNames, request.route->kind));
-    const MetricLabels labels {{"class", workClass}, {"kind", kind}, {"outcome", std::string(outcomeOf(request))}};
+    const MetricLabels labels {{"class", routeName}, {"kind", kind}, {"outcome", std::string(outcomeOf(request))}};
     parts_.metrics
-        .counter("cardamompost_requests_total", {{"class", workClass}, {"status", std::to_string(request.status)}})
+        .counter("cardamompost_requests_total", {{"class", routeName}, {"status", std::to_string(request.status)}})
         .add();
     parts_.metrics.histogram("cardamompost_request_seconds", labels)
-        .observe(std::chrono::duration<double>(time).count());
+        .observe(std::chrono::duration<double>(elapsed).count());
     // The line is built in a buffer on the stack, since every request writes one.
     std::array<unsigned char, logLineBytes> space;
     boost::json::monotonic_resource memory(space.data(), space.size());
--- a/tests/gateway/cp_backend_pool.tests.cpp
+++ b/tests/gateway/cp_backend_pool.tests.cpp
@@ -95,9 +95,9 @@
     const auto servers = list(1, 1, {server("a"), server("b"), server("c")});
     one.setList(servers);
     two.setList(servers);
-    for (std::uint64_t point = 1; point < 50; ++point) {
-        const auto first = one.pick({"engines", point, {}}, now);
-        BOOST_TEST(first->server().id == two.pick({"engines", point, {}}, now)->server().id);
+    for (std::uint64_t stickyHash = 1; stickyHash < 50; ++stickyHash) {
+        const auto first = one.pick({"engines", stickyHash, {}}, now);
+        BOOST_TEST(first->server().id == two.pick({"engines", stickyHash, {}}, now)->server().id);
     }
     const auto sticky = one.pick({"engines", 7, {}}, now);
     sticky->report(8, 2, now);
@@ -185,7 +185,7 @@
     BOOST_TEST(ejected == 4);
 }
 
-// Guards against state of a previous incarnation being applied to a restarted server, also by a list that is behind.
+// Guards against applying a previous incarnation's state to a restarted server, or returning to it with an old list.
 BOOST_AUTO_TEST_CASE(a_restarted_server_replaces_its_previous_incarnation)
 {
     boost::asio::io_context io;
--- a/tests/gateway/cp_event_stream_scanner.tests.cpp
+++ b/tests/gateway/cp_event_stream_scanner.tests.cpp
@@ -28,8 +28,8 @@
     BOOST_TEST(scanner.feed("\nid") == 1U);
 }
 
-// A stream that breaks off within an event is resumed on another replica. The partial event must not be merged with
-// the next one.
+// A stream that breaks off within an event is resumed on another server. The partial event must not be merged with the
+// next one.
 BOOST_AUTO_TEST_CASE(a_partial_event_is_discarded)
 {
     EventStreamScanner scanner;
--- a/tests/gateway/cp_presence_table.tests.cpp
+++ b/tests/gateway/cp_presence_table.tests.cpp
@@ -77,7 +77,7 @@
     BOOST_TEST(table.unreachableShare("apapa", later) == 0.5);
     BOOST_TEST(table.unreachableShare("onne", later) == 0);
     BOOST_TEST(table.unreachableShare("tincan", later) == 0);
-    BOOST_TEST(table.unreachableShare("apapa", now + PresenceTable::forgottenAfter) == 1);
+    BOOST_TEST(table.unreachableShare("apapa", now + PresenceTable::ignoredAfter) == 1);
     BOOST_TEST(table.ready(now).empty());
 }
 
