--- a/tests/platform/cp_platform_accounts.tests.cpp
+++ b/tests/platform/cp_platform_accounts.tests.cpp
@@ -1,4 +1,4 @@
-#include "support/cp_platform_system.hpp"
+#include "support/cp_gateway_cluster.hpp"
 
 #include <boost/test/unit_test.hpp>
 
@@ -10,7 +10,7 @@
 
 //! A document with client accounts.
 //! \param accounts  JSON objects, separated by commas
-std::string withAccounts(int version, const std::string &accounts)
+std::string documentWithAccounts(int version, const std::string &accounts)
 {
     std::string text = document(version);
     const std::string anonymous
@@ -25,16 +25,16 @@
 const std::string officers = R"({"name":"officers","access-keys":["key-o1","key-o2"],"priority":1})";
 const std::string foremen = R"({"name":"foremen","access-keys":["key-f"]})";
 
-HttpHeaders withKey(const std::string &id, const std::string &key)
+HttpHeaders headersWithKey(const std::string &id, const std::string &key)
 {
-    HttpHeaders headers = System::headers(id);
+    HttpHeaders headers = GatewayCluster::headers(id);
     headers["X-Api-Key"] = key;
     return headers;
 }
 
 HttpHeaders turnHeaders(const std::string &id, const std::string &key, const std::string &previous)
 {
-    HttpHeaders headers = withKey(id, key);
+    HttpHeaders headers = headersWithKey(id, key);
     headers["Program"] = "p1";
     headers["Token-Usage"] = "100,50";
     headers["Token-Budget"] = "1000";
@@ -44,23 +44,23 @@
     return headers;
 }
 
-//! A system with client accounts and one entry.
+//! A cluster with client accounts and one entry.
 struct AccountFixture {
     explicit AccountFixture(const std::string &accounts = officers + "," + foremen)
     {
-        system.put(withAccounts(3, accounts));
-        entry = system.addEntry(system.seeds());
+        cluster.put(documentWithAccounts(3, accounts));
+        entry = cluster.addEntry(cluster.seeds());
     }
     HttpResponse call(const std::string &id, const std::string &key, const std::string &path = "/tools/1")
     {
-        return system.platform.call(entry, "POST", path, withKey(id, key), "in");
+        return cluster.platform.call(entry, "POST", path, headersWithKey(id, key), "in");
     }
     HttpResponse turn(const std::string &id, const std::string &key, const std::string &previous = {})
     {
-        return system.platform.call(entry, "POST", "/plans/1", turnHeaders(id, key, previous), "in-" + id + ";");
+        return cluster.platform.call(entry, "POST", "/plans/1", turnHeaders(id, key, previous), "in-" + id + ";");
     }
 
-    System system;
+    GatewayCluster cluster;
     Address entry;
 };
 
@@ -72,8 +72,8 @@
 BOOST_AUTO_TEST_CASE(a_server_receives_the_account_but_not_the_key)
 {
     AccountFixture fixture;
-    FakePlatform &platform = fixture.system.platform;
-    HttpHeaders forged = withKey("a1", "key-o2");
+    FakePlatform &platform = fixture.cluster.platform;
+    HttpHeaders forged = headersWithKey("a1", "key-o2");
     forged["Tenant"] = "foremen";
     BOOST_TEST(platform.call(fixture.entry, "POST", "/tools/1", forged, "in").status == 200U);
     BOOST_TEST(platform.headerOf("a1", "Tenant") == "officers");
@@ -81,26 +81,27 @@
     BOOST_TEST(fixture.turn("a2", "key-f").status == 200U);
     BOOST_TEST(platform.headerOf("a2", "Tenant") == "foremen");
     BOOST_TEST(platform.headerOf("a2", "X-Api-Key").empty());
-    BOOST_TEST(fixture.system.matchingLogCount("request.end", "key-") == 0U);
+    BOOST_TEST(fixture.cluster.matchingLogCount("request.end", "key-") == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_without_a_known_key_is_rejected_and_not_executed)
 {
     AccountFixture fixture;
     BOOST_TEST(fixture.call("b1", "key-x").status == 401U);
-    BOOST_TEST(fixture.system.platform.call(fixture.entry, "POST", "/tools/1", System::headers("b2"), "in").status
-               == 401U);
+    BOOST_TEST(
+        fixture.cluster.platform.call(fixture.entry, "POST", "/tools/1", GatewayCluster::headers("b2"), "in").status
+        == 401U);
     BOOST_TEST(fixture.turn("b3", "key-x").status == 401U);
     BOOST_TEST(fixture.call("b4", "key-o1, key-f").status == 401U);
-    BOOST_TEST(fixture.system.platform.arrivals() == 0);
-    BOOST_TEST(fixture.system.explainEnd("b1").cause.find("no account holds the key") != std::string::npos);
+    BOOST_TEST(fixture.cluster.platform.arrivals() == 0);
+    BOOST_TEST(fixture.cluster.explainEnd("b1").cause.find("no account holds the key") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(an_anonymous_route_accepts_requests_with_any_key_or_none)
 {
     AccountFixture fixture;
-    FakePlatform &platform = fixture.system.platform;
-    HttpHeaders forged = System::headers("c1");
+    FakePlatform &platform = fixture.cluster.platform;
+    HttpHeaders forged = GatewayCluster::headers("c1");
     forged["Tenant"] = "foremen";
     BOOST_TEST(platform.call(fixture.entry, "POST", "/open/1", forged, "in").status == 200U);
     BOOST_TEST(platform.headerOf("c1", "Tenant").empty());
@@ -119,14 +120,15 @@
     BOOST_TEST(fixture.turn("d2", "key-f", "d1").status == 404U);
     BOOST_TEST(fixture.turn("d1", "key-f").status == 200U);
     BOOST_TEST(fixture.turn("d3", "key-o2", "d1").status == 200U);
-    BOOST_TEST(fixture.system.platform.bodyOf("d3") == "in-d1;a-d1\nb-d1\nin-d3;");
-    // A key moves to another account; the histories stay with theirs.
-    fixture.system.put(withAccounts(4, R"({"name":"officers","access-keys":["key-o1"]},
+    BOOST_TEST(fixture.cluster.platform.bodyOf("d3") == "in-d1;a-d1\nb-d1\nin-d3;");
+    // A key moves to another account; the histories stay with the account that began them.
+    fixture.cluster.put(documentWithAccounts(4, R"({"name":"officers","access-keys":["key-o1"]},
         {"name":"foremen","access-keys":["key-f","key-o2"]})"));
-    const bool isKeyMoved = System::eventually([&] {
+    const bool isKeyMoved = GatewayCluster::eventually([&] {
         static int tries = 0;
         const std::string id = "dm" + std::to_string(++tries);
-        return fixture.call(id, "key-o2").status == 200U && fixture.system.platform.headerOf(id, "Tenant") == "foremen";
+        return fixture.call(id, "key-o2").status == 200U
+            && fixture.cluster.platform.headerOf(id, "Tenant") == "foremen";
     });
     BOOST_TEST(isKeyMoved);
     BOOST_TEST(fixture.turn("d4", "key-o2", "d3").status == 404U);
@@ -139,11 +141,11 @@
     AccountFixture fixture;
     BOOST_TEST(fixture.call("e0", "key-f").status == 200U);
     auto running
-        = fixture.system.platform.begin(fixture.entry, "POST", "/drafts/slow", turnHeaders("e1", "key-f", {}), "in");
-    const bool runs = System::eventually([&] { return fixture.system.platform.runsOf("e1") == 1U; });
-    BOOST_TEST(runs);
-    fixture.system.put(withAccounts(4, officers));
-    const bool isRefused = System::eventually([&] {
+        = fixture.cluster.platform.begin(fixture.entry, "POST", "/drafts/slow", turnHeaders("e1", "key-f", {}), "in");
+    const bool isRunning = GatewayCluster::eventually([&] { return fixture.cluster.platform.runsOf("e1") == 1U; });
+    BOOST_TEST(isRunning);
+    fixture.cluster.put(documentWithAccounts(4, officers));
+    const bool isRefused = GatewayCluster::eventually([&] {
         static int tries = 0;
         return fixture.call("er" + std::to_string(++tries), "key-f").status == 401U;
     });
@@ -157,9 +159,9 @@
 {
     AccountFixture fixture;
     BOOST_TEST(fixture.call("f1", "key-x").status == 401U);
-    fixture.system.killLedgers();
+    fixture.cluster.killLedgers();
     HttpResponse answer;
-    const bool isUnavailable = System::eventually([&] {
+    const bool isUnavailable = GatewayCluster::eventually([&] {
         static int tries = 0;
         answer = fixture.call("fr" + std::to_string(++tries), "key-x");
         return answer.status == 503U;
@@ -172,26 +174,26 @@
 // Guards against a revoked key that still works at an entry without the ledger, where the settings forbid that.
 BOOST_AUTO_TEST_CASE(an_entry_that_fails_closed_rejects_all_keys_after_the_revocation_time)
 {
-    System system;
-    system.put(withAccounts(3, officers));
-    system.addEntry(system.seeds());
-    GatewaySettings settings = system.commonSettings("entry-closed");
+    GatewayCluster cluster;
+    cluster.put(documentWithAccounts(3, officers));
+    cluster.addEntry(cluster.seeds());
+    GatewaySettings settings = cluster.commonSettings("entry-closed");
     settings.front = local(freePort());
     settings.ready = local(freePort());
-    settings.seeds = system.seeds();
+    settings.seeds = cluster.seeds();
     settings.failsClosed = true;
     settings.revocationTime = Milliseconds(300);
-    GatewayThread closed(settings);
+    GatewayThread failClosedEntry(settings);
     const auto call = [&](const std::string &id) {
-        return system.platform.call(settings.front, "POST", "/tools/1", withKey(id, "key-o1"), "in").status;
+        return cluster.platform.call(settings.front, "POST", "/tools/1", headersWithKey(id, "key-o1"), "in").status;
     };
-    const bool isServed = System::eventually([&] {
+    const bool isServed = GatewayCluster::eventually([&] {
         static int tries = 0;
         return call("g" + std::to_string(++tries)) == 200U;
     });
     BOOST_TEST(isServed);
-    system.killLedgers();
-    const bool isRefused = System::eventually([&] {
+    cluster.killLedgers();
+    const bool isRefused = GatewayCluster::eventually([&] {
         static int tries = 0;
         return call("h" + std::to_string(++tries)) == 503U;
     });
@@ -204,8 +206,8 @@
     const std::string limitedAccount
         = R"({"name":"bound","access-keys":["key-b"],"rate-per-s":0.5,"burst":12},)" + officers;
     AccountFixture fixture(limitedAccount);
-    const Address other = fixture.system.addEntry(fixture.system.seeds());
-    // The token bucket starts empty and fills up to its burst; the requests then exceed it.
+    const Address other = fixture.cluster.addEntry(fixture.cluster.seeds());
+    // The token bucket starts empty and gains a few tokens meanwhile, fewer than there are requests.
     std::this_thread::sleep_for(std::chrono::seconds(4));
     unsigned served = 0;
     unsigned refused = 0;
@@ -215,20 +217,20 @@
         const std::string id = "i" + std::to_string(i);
         const Address &entry = i % 2 == 0 ? fixture.entry : other;
         const bool isTurn = i % 3 == 0;
-        const HttpHeaders headers = isTurn ? turnHeaders(id, "key-b", {}) : withKey(id, "key-b");
+        const HttpHeaders headers = isTurn ? turnHeaders(id, "key-b", {}) : headersWithKey(id, "key-b");
         const HttpResponse answer
-            = fixture.system.platform.call(entry, "POST", isTurn ? "/plans/1" : "/tools/1", headers, "in");
+            = fixture.cluster.platform.call(entry, "POST", isTurn ? "/plans/1" : "/tools/1", headers, "in");
         served += answer.status == 200U ? 1 : 0;
         refused += answer.status == 429U ? 1 : 0;
         last = answer.status == 429U ? answer : last;
         lastId = answer.status == 429U ? id : lastId;
-        BOOST_TEST(fixture.system.platform.runsOf(id) == (answer.status == 200U ? 1U : 0U));
+        BOOST_TEST(fixture.cluster.platform.runsOf(id) == (answer.status == 200U ? 1U : 0U));
     }
     BOOST_TEST(served >= 1U);
     BOOST_TEST(served <= 5U);
     BOOST_TEST(served + refused == 12U);
     BOOST_TEST(!last.header("Retry-After").empty());
-    BOOST_TEST(fixture.system.explainEnd(lastId).cause.find("the account 'bound' has") != std::string::npos);
+    BOOST_TEST(fixture.cluster.explainEnd(lastId).cause.find("the account 'bound' has") != std::string::npos);
     // Other accounts are not limited.
     for (int i = 0; i < 12; ++i) {
         BOOST_TEST(fixture.call("j" + std::to_string(i), "key-o1").status == 200U);
@@ -242,8 +244,9 @@
          {officers + R"(,{"name":"agents","access-keys":["key-o1"]})", officers + R"(,{"access-keys":["key-y"]})",
           officers + R"(,{"name":"agents","access-keys":[""]})", officers + R"(,{"name":"agents","access-keys":[7]})",
           officers + R"(,{"name":"agents","rate-per-s":-1})"}) {
-        const HttpResponse answer = fixture.system.platform.call(
-            fixture.system.ledgers[0].control, "PUT", "/cardamompost/configuration", {}, withAccounts(9, accounts));
+        const HttpResponse answer
+            = fixture.cluster.platform.call(fixture.cluster.ledgerSettings[0].control, "PUT",
+                                            "/cardamompost/configuration", {}, documentWithAccounts(9, accounts));
         BOOST_TEST(answer.status == 400U, accounts);
         BOOST_TEST(answer.body.find("key-") == std::string::npos, answer.body);
     }
--- a/tests/platform/cp_platform_adapter.tests.cpp
+++ b/tests/platform/cp_platform_adapter.tests.cpp
@@ -78,7 +78,7 @@
 BOOST_AUTO_TEST_CASE(a_field_of_a_wrong_type_or_out_of_range_is_rejected_by_name)
 {
     const PlatformAdapter adapter;
-    const auto refusal = [&](const std::string &from, const std::string &to) {
+    const auto errorAfterReplacing = [&](const std::string &from, const std::string &to) {
         std::string bytes = completeDocument;
         const std::size_t at = bytes.find(from);
         BOOST_REQUIRE(at != std::string::npos);
@@ -86,25 +86,25 @@
         const auto document = adapter.readDocument(bytes);
         return document ? std::string() : document.error().message;
     };
-    const auto checkRefusalNames = [&](const std::string &from, const std::string &to, const std::string &field) {
-        const std::string message = refusal(from, to);
+    const auto checkErrorNamesField = [&](const std::string &from, const std::string &to, const std::string &field) {
+        const std::string message = errorAfterReplacing(from, to);
         BOOST_TEST(message.find("'" + field + "'") != std::string::npos, to << " gives: " << message);
     };
-    checkRefusalNames(R"("timeout-ms":4000)", R"("timeout-ms":"4 s")", "timeout-ms");
-    checkRefusalNames(R"("timeout-ms":4000)", R"("timeout-ms":-1)", "timeout-ms");
-    checkRefusalNames(R"("timeout-ms":4000)", R"("timeout-ms":1e300)", "timeout-ms");
-    checkRefusalNames(R"("priority":1)", R"("priority":0.5)", "priority");
-    checkRefusalNames(R"("max-attempts":1)", R"("max-attempts":5000000000)", "max-attempts");
-    checkRefusalNames(R"("weight":90)", R"("weight":-90)", "weight");
-    checkRefusalNames(R"("weight":90)", R"("weight":[90])", "weight");
-    checkRefusalNames(R"("retains-context":true)", R"("retains-context":"yes")", "retains-context");
-    checkRefusalNames(R"("host":"h.example")", R"("host":7)", "host");
-    checkRefusalNames(R"("version":7)", R"("version":7.5)", "version");
-    checkRefusalNames(R"("max-connections":180)", R"("max-connections":true)", "max-connections");
-    checkRefusalNames(R"("stride":10)", R"("stride":-10)", "stride");
-    checkRefusalNames(R"("idle-timeout-ms":15000)", R"("idle-timeout-ms":{})", "idle-timeout-ms");
-    BOOST_TEST(refusal(R"("retention-s":60.0)", R"("retention-s":60.25)").empty());
-    BOOST_TEST(refusal(R"("traffic-split":[)", R"("service":null,"traffic-split":[)").empty());
+    checkErrorNamesField(R"("timeout-ms":4000)", R"("timeout-ms":"4 s")", "timeout-ms");
+    checkErrorNamesField(R"("timeout-ms":4000)", R"("timeout-ms":-1)", "timeout-ms");
+    checkErrorNamesField(R"("timeout-ms":4000)", R"("timeout-ms":1e300)", "timeout-ms");
+    checkErrorNamesField(R"("priority":1)", R"("priority":0.5)", "priority");
+    checkErrorNamesField(R"("max-attempts":1)", R"("max-attempts":5000000000)", "max-attempts");
+    checkErrorNamesField(R"("weight":90)", R"("weight":-90)", "weight");
+    checkErrorNamesField(R"("weight":90)", R"("weight":[90])", "weight");
+    checkErrorNamesField(R"("retains-context":true)", R"("retains-context":"yes")", "retains-context");
+    checkErrorNamesField(R"("host":"h.example")", R"("host":7)", "host");
+    checkErrorNamesField(R"("version":7)", R"("version":7.5)", "version");
+    checkErrorNamesField(R"("max-connections":180)", R"("max-connections":true)", "max-connections");
+    checkErrorNamesField(R"("stride":10)", R"("stride":-10)", "stride");
+    checkErrorNamesField(R"("idle-timeout-ms":15000)", R"("idle-timeout-ms":{})", "idle-timeout-ms");
+    BOOST_TEST(errorAfterReplacing(R"("retention-s":60.0)", R"("retention-s":60.25)").empty());
+    BOOST_TEST(errorAfterReplacing(R"("traffic-split":[)", R"("service":null,"traffic-split":[)").empty());
 }
 
 namespace
--- a/tests/platform/gateway_cost.py
+++ b/tests/platform/gateway_cost.py
@@ -11,8 +11,8 @@
 from logging_share import processor_seconds
 
 
-async def timed(address, path, headers, closes):
-    """Milliseconds until the first byte of the response body."""
+async def timed(address, path, headers, waits_for_close):
+    """Sends a request. Returns the milliseconds until the first byte of the response body."""
     reader, writer = await asyncio.open_connection(*address)
     lines = [f"POST {path} HTTP/1.1", "Connection: close", "Content-Length: 4"] + [f"{k}: {v}" for k, v in headers.items()]
     begun = time.perf_counter()
@@ -21,7 +21,7 @@
     await reader.read(1)
     taken = 1000 * (time.perf_counter() - begun)
     # An entry's work after the response is part of its cost. The stand-in never closes connections.
-    if closes:
+    if waits_for_close:
         await asyncio.wait_for(reader.read(), 5)
     writer.close()
     return taken
--- a/tests/platform/gateway_soak.py
+++ b/tests/platform/gateway_soak.py
@@ -14,12 +14,13 @@
 - an entry that served a route never answers 404 to it again while documents grow;
 - service recovers once all faults are over, including the newest routes;
 - a backend server receives the client account of a key and never the key; unknown keys run nowhere, valid ones are never refused,
-  revoked ones are refused in the end;
+  revoked ones are refused once the faults are over;
 - a rate-limited account stays within its limit in every window.
 """
 import argparse, asyncio, json, os, random, resource, shutil, signal, socket, sys, tempfile, time
 
-STRIDE, MOST, BUDGET = 10, 50, 400
+# A turn reserves MAX_TURN_TOKENS of its program's BUDGET and uses TOKENS_PER_EVENT for each event of its response.
+TOKENS_PER_EVENT, MAX_TURN_TOKENS, BUDGET = 10, 50, 400
 # An account's rate limit in requests per second (also its burst), the window, and the permitted excess.
 RATE, WINDOW, OVER_SHARE, OVER_REQUESTS = 15, 5.0, 0.1, 20
 KEY = "stay-officers"
@@ -28,12 +29,12 @@
      "max-attempts": 1, "retains-context": True, "retention-s": 60.0, "sticky-sessions": True},
     {"name": "tools", "host": "h.example", "path-prefix": "/tools/", "kind": "unsafe", "timeout-ms": 3000, "service": "e",
      "max-attempts": 1}],
-    "services": [{"name": "e", "max-connections": 100, "engine": {"slots": 16, "key-value-tokens": 1000, "stride": STRIDE}}],
+    "services": [{"name": "e", "max-connections": 100, "engine": {"slots": 16, "key-value-tokens": 1000, "stride": TOKENS_PER_EVENT}}],
     "limits": {"max-header-bytes": 16384, "max-body-bytes": 100000, "header-timeout-ms": 3000, "idle-timeout-ms": 15000}}
 
 
 def document(version, grown):
-    """A document with additional routes; later versions keep those of earlier ones."""
+    """A document with the additional routes 0 to grown - 1."""
     more = [{"name": f"grown-{i}", "host": "h.example", "path-prefix": f"/grown-{i}/", "kind": "unsafe", "timeout-ms": 3000,
              "service": "e", "max-attempts": 1} for i in range(grown)]
     return json.dumps({**DOCUMENT, "version": version, "routes": DOCUMENT["routes"] + more, "tenants": accounts(version)}).encode()
@@ -41,9 +42,9 @@
 
 def accounts(version):
     """Some keys are permanent, one moves between two accounts, and one exists in a single version."""
-    moves = [["mover"], []] if version % 2 == 0 else [[], ["mover"]]
-    return [{"name": "officers", "access-keys": ["stay-officers"] + moves[0]},
-            {"name": "foremen", "access-keys": ["stay-foremen"] + moves[1], "priority": 1},
+    mover_keys = [["mover"], []] if version % 2 == 0 else [[], ["mover"]]
+    return [{"name": "officers", "access-keys": ["stay-officers"] + mover_keys[0]},
+            {"name": "foremen", "access-keys": ["stay-foremen"] + mover_keys[1], "priority": 1},
             {"name": "bound", "access-keys": ["stay-bound"], "rate-per-s": RATE, "burst": RATE},
             {"name": "visitors", "access-keys": [f"visit-{version}"]}]
 
@@ -111,7 +112,7 @@
             while data := await reader.read(65536):
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                # Blackholed data is lost for good, as behind a firewall that has dropped the connection.
+                # Blackholed data is never delivered, as by a firewall that has lost the connection's state.
                 if getattr(self, way):
                     writer.write(data)
                     await writer.drain()
@@ -149,8 +150,8 @@
                 self.leaked += "x-api-key" in headers
                 if headers.get("tenant") == "bound":
                     self.bound_at.append(time.monotonic())
-                fate = self.random.random()
-                if fate < 0.03:
+                draw = self.random.random()
+                if draw < 0.03:
                     writer.transport.abort()
                     return
                 common = {"Request-Id": request, "Server-Signature": "s-" + request}
@@ -164,7 +165,7 @@
                     writer.write(b"%x\r\n%s\r\n" % (len(event), event))
                     await writer.drain()
                     await asyncio.sleep(0.004)
-                    if fate > 0.98 and number == 1:
+                    if draw > 0.98 and number == 1:
                         writer.transport.abort()
                         return
                 writer.write(b"0\r\n\r\n")
@@ -213,7 +214,7 @@
         self.folder = tempfile.mkdtemp(prefix="gateway-soak-")
         self.backend, self.forwarders, self.ledgers, self.entries = Backend(random.Random(seed + 1)), [], [], []
         self.acked, self.counts, self.serial = 0, {}, 0
-        # The number of routes in the last document, and the highest route that each entry has served.
+        # The number of additional routes in the newest document, and the highest one that each entry has served.
         self.grown, self.served = 1, {}
         self.keys = {}
         self.next_port = os.getpid() * 211
@@ -323,17 +324,17 @@
         return request, status, answer
 
     async def program(self, number):
-        previous, history, handed = None, b"", 0
+        previous, history, received_tokens = None, b"", 0
         key = "stay-officers" if number % 2 else "stay-foremen"
         for turn in range(12):
-            headers = {"Program": f"p{self.seed}-{number}", "Session": "s", "Token-Budget": BUDGET, "Token-Usage": f"100,{MOST}"}
+            headers = {"Program": f"p{self.seed}-{number}", "Session": "s", "Token-Budget": BUDGET, "Token-Usage": f"100,{MAX_TURN_TOKENS}"}
             if previous:
                 headers["Previous-Turn"] = previous
             text = f"in-{number}-{turn};".encode()
             request, status, answer = await self.send("/plans/x", headers, text, key)
-            handed += answer.count(b"\n\n") * STRIDE
-            got = self.backend.bodies.get(request)
-            if got is not None and got != history + text:
+            received_tokens += answer.count(b"\n\n") * TOKENS_PER_EVENT
+            received_body = self.backend.bodies.get(request)
+            if received_body is not None and received_body != history + text:
                 self.fail(f"{request} reached the engine with a wrong history")
             if status == 404:
                 self.fail(f"{request}: the completed turn {previous} is unknown")
@@ -344,25 +345,25 @@
                 previous, history = request, history + text + data
             await self.send("/tools/x", {}, b"work", self.random.choice([key, "mover", "never"]))
             await asyncio.sleep(self.random.uniform(0.01, 0.1))
-        if handed > BUDGET + MOST:
-            self.fail(f"program {number} got {handed} tokens with a budget of {BUDGET}")
+        if received_tokens > BUDGET + MAX_TURN_TOKENS:
+            self.fail(f"program {number} got {received_tokens} tokens with a budget of {BUDGET}")
 
     async def traffic(self, until):
         number = 0
-        async def one(first):
+        async def client(_):
             nonlocal number
             while time.monotonic() < until:
                 number += 1
                 await self.program(number)
-        await asyncio.gather(*(one(i) for i in range(6)))
+        await asyncio.gather(*(client(i) for i in range(6)))
 
     async def press(self, until):
-        """Sends several times an account's rate limit."""
-        async def one():
+        """Sends requests at several times the rate limit of an account."""
+        async def client():
             while time.monotonic() < until:
                 await self.send("/tools/x", {}, b"work", "stay-bound")
                 await asyncio.sleep(0.1)
-        await asyncio.gather(*(one() for _ in range(8)))
+        await asyncio.gather(*(client() for _ in range(8)))
 
     def check_accounts(self):
         if self.backend.leaked:
@@ -373,12 +374,12 @@
             if account not in holders:
                 self.fail(f"{request} with the key '{key}' ran for the account '{account}'")
         times, first = sorted(self.backend.bound_at), 0
-        most = (RATE * WINDOW + RATE) * (1 + OVER_SHARE) + OVER_REQUESTS
+        max_requests = (RATE * WINDOW + RATE) * (1 + OVER_SHARE) + OVER_REQUESTS
         for last, at in enumerate(times):
             while times[first] <= at - WINDOW:
                 first += 1
-            if last - first + 1 > most:
-                self.fail(f"{last - first + 1} requests of the rate-limited account within {WINDOW} s, limit {most}")
+            if last - first + 1 > max_requests:
+                self.fail(f"{last - first + 1} requests of the rate-limited account within {WINDOW} s, limit {max_requests}")
                 break
 
     async def refuses_old_keys(self, front):
--- a/tests/platform/logging_share.py
+++ b/tests/platform/logging_share.py
@@ -30,10 +30,10 @@
     soak.backend.random.random = lambda: 0.5
     try:
         await soak.start()
-        quiet = soak.entries[1]
-        quiet.settings["log_level"] = "error"
-        await quiet.kill()
-        await quiet.start()
+        error_only = soak.entries[1]
+        error_only.settings["log_level"] = "error"
+        await error_only.kill()
+        await error_only.start()
         await soak.until_served(soak.fronts[1])
         before = [processor_seconds(entry) for entry in soak.entries]
         rounds = 8
--- a/tests/support/cp_fake_platform.hpp
+++ b/tests/support/cp_fake_platform.hpp
@@ -67,6 +67,7 @@
         });
         ::pthread_kill(thread_.native_handle(), SIGUSR1);
     }
+    //! Resumes all suspended threads.
     static void thaw()
     {
         isFrozen() = false;
@@ -104,7 +105,7 @@
     }
 
 private:
-    //! Empty until a settings file was written, as for an unreadable file.
+    //! Empty until changeSettingsFile(), as if the file was unreadable.
     [[nodiscard]] std::optional<GatewaySettings> settingsFile() const
     {
         const std::lock_guard lock(mutex_);
@@ -188,7 +189,7 @@
         return begin(address, std::move(method), std::move(target), std::move(headers), std::move(body)).get();
     }
 
-    //! The body that a backend server received with a request id; empty if none did.
+    //! The body that a backend server received last with a request id; empty if none did.
     std::string bodyOf(const std::string &id)
     {
         const std::lock_guard lock(mutex_);
@@ -225,6 +226,7 @@
         const std::lock_guard lock(mutex_);
         isFirstAddressReused_ = true;
     }
+    //! How many requests reached a backend server.
     int arrivals()
     {
         const std::lock_guard lock(mutex_);
@@ -238,15 +240,15 @@
 
     [[nodiscard]] HttpResponse list() const
     {
-        HttpResponse list;
-        list.body = R"({"instances":[)";
+        HttpResponse response;
+        response.body = R"({"instances":[)";
         for (std::size_t i = 0; i < serverCount; ++i) {
-            list.body += std::string(i == 0 ? "" : ",") + R"({"id":"i-)" + std::to_string(i + 1)
+            response.body += std::string(i == 0 ? "" : ",") + R"({"id":"i-)" + std::to_string(i + 1)
                 + R"(","service":"engines","address":")" + local(ports[i]).toString()
                 + R"(","zone":"apapa","slots":16,"state":"ready"})";
         }
-        list.body += R"(],"next":null})";
-        return list;
+        response.body += R"(],"next":null})";
+        return response;
     }
     //! Records a request. \returns the number of earlier ones with the same id
     std::size_t recordRequest(std::size_t server, const std::string &id, const HttpRequest &request)
@@ -285,11 +287,11 @@
             co_return;
         }
         const std::size_t earlierAttempts = recordRequest(server, id, request);
-        const auto has = [&](std::string_view word) { return request.path.find(word) != std::string::npos; };
-        if (has("/never") || (has("silent-once") && earlierAttempts == 0)) {
+        const auto pathContains = [&](std::string_view word) { return request.path.find(word) != std::string::npos; };
+        if (pathContains("/never") || (pathContains("silent-once") && earlierAttempts == 0)) {
             co_await sleepFor(Milliseconds(60'000));
         }
-        if (has("/lost")) {
+        if (pathContains("/lost")) {
             responder.abort();
             co_return;
         }
@@ -298,7 +300,7 @@
         headers["Server-Signature"] = "sig-" + id;
         headers["Content-Type"] = "text/event-stream";
         co_await responder.begin(200, headers);
-        if (has("/slow")) {
+        if (pathContains("/slow")) {
             for (int i = 1; i <= slowEvents; ++i) {
                 co_await sleepFor(slowPause);
                 const bool isWritten = co_await responder.write(event(i, "s"));
@@ -314,14 +316,14 @@
         if (request.header("Last-Event-Id") != "1") {
             co_await responder.write(event(1, "a-" + id));
         }
-        if (has("cut-once") && earlierAttempts == 0) {
+        if (pathContains("cut-once") && earlierAttempts == 0) {
             co_await responder.write("id: 2\ndata: b-");
             responder.abort();
             co_return;
         }
         co_await responder.write(event(2, "b-" + id));
         co_await responder.end({});
-        if (has("/twice")) {
+        if (pathContains("/twice")) {
             HttpResponse second;
             second.headers["Request-Id"] = id;
             second.headers["Server-Signature"] = "sig-" + id;
--- a/tests/support/cp_fault_injecting_proxy.hpp
+++ b/tests/support/cp_fault_injecting_proxy.hpp
@@ -39,7 +39,7 @@
     FaultInjectingProxy(const FaultInjectingProxy &) = delete;
     FaultInjectingProxy &operator=(const FaultInjectingProxy &) = delete;
 
-    //! Forwards connections to a target. To be called before blackholeOpenConnections().
+    //! Listens at an address and forwards its connections to another one.
     void forward(const Address &from, const Address &to)
     {
         acceptors_.emplace_back(io_, endpoint(from));
@@ -95,9 +95,9 @@
     {
         boost::asio::steady_timer timer(from->get_executor());
         unsigned chunks = 0;
-        std::array<char, 16U << 10U> space {};
+        std::array<char, 16U << 10U> chunk {};
         for (;;) {
-            const auto [error, bytesRead] = co_await from->async_read_some(boost::asio::buffer(space), asTuple);
+            const auto [error, bytesRead] = co_await from->async_read_some(boost::asio::buffer(chunk), asTuple);
             if (!*isForwarding && !error) {
                 continue;
             }
@@ -113,7 +113,7 @@
                 timer.expires_after(*delay);
                 co_await timer.async_wait(asTuple);
             }
-            co_await boost::asio::async_write(*to, boost::asio::buffer(space, bytesRead), asTuple);
+            co_await boost::asio::async_write(*to, boost::asio::buffer(chunk, bytesRead), asTuple);
         }
     }
 
--- a/tests/support/cp_free_port.hpp
+++ b/tests/support/cp_free_port.hpp
@@ -23,13 +23,13 @@
 //! listener opens. Concurrent processes start their search at different ports. Returns 0 if no port is free.
 inline std::uint16_t freePort()
 {
-    constexpr unsigned lowest = 10'000;
-    constexpr unsigned perProcess = 211;
-    static unsigned next = static_cast<unsigned>(::getpid()) * perProcess;
-    const unsigned span = firstEphemeralPort() - lowest;
+    constexpr unsigned lowestPort = 10'000;
+    constexpr unsigned portsPerProcess = 211;
+    static unsigned nextOffset = static_cast<unsigned>(::getpid()) * portsPerProcess;
+    const unsigned span = firstEphemeralPort() - lowestPort;
     boost::asio::io_context io;
     for (unsigned attempt = 0; attempt < span; ++attempt) {
-        const auto port = static_cast<std::uint16_t>(lowest + next++ % span);
+        const auto port = static_cast<std::uint16_t>(lowestPort + nextOffset++ % span);
         boost::asio::ip::tcp::acceptor probe(io, boost::asio::ip::tcp::v4());
         boost::system::error_code error;
         probe.bind({boost::asio::ip::make_address_v4("127.0.0.1"), port}, error);
--- a/tests/support/cp_gateway_cluster.hpp
+++ b/tests/support/cp_gateway_cluster.hpp
@@ -1,5 +1,5 @@
-#ifndef CARDAMOMPOST_TESTS_CP_PLATFORM_SYSTEM_HPP_INCLUDED
-#define CARDAMOMPOST_TESTS_CP_PLATFORM_SYSTEM_HPP_INCLUDED
+#ifndef CARDAMOMPOST_TESTS_CP_GATEWAY_CLUSTER_HPP_INCLUDED
+#define CARDAMOMPOST_TESTS_CP_GATEWAY_CLUSTER_HPP_INCLUDED
 
 #include "support/cp_fake_platform.hpp"
 #include "support/cp_fault_injecting_proxy.hpp"
@@ -12,7 +12,7 @@
 namespace cardamompost::tests
 {
 
-// Bounds of the waits below.
+// Bound the waits of GatewayCluster::eventually().
 constexpr int maxTries = 400;
 constexpr Milliseconds tryPause {25};
 
@@ -41,41 +41,41 @@
  "limits":{"max-header-bytes":16384,"max-body-bytes":100000,"header-timeout-ms":3000,"idle-timeout-ms":15000}})";
 }
 
-//! A complete system on the loopback interface: ledger VMs with their own data folders, and entries.
-class System
+//! Runs ledger VMs, each with its own data folder, and entries on the loopback interface, with a fake platform.
+class GatewayCluster
 {
 public:
-    System()
+    GatewayCluster()
         : folder_(std::filesystem::temp_directory_path() / ("cardamompost-path-" + std::to_string(randomIdentity())))
     {
         std::filesystem::create_directories(folder_);
-        for (int i = 0; i < founders; ++i) {
-            ledgers.push_back(ledgerSettings());
+        for (int i = 0; i < founderCount; ++i) {
+            ledgerSettings.push_back(newLedgerSettings());
         }
         // Members are identified by address: each has its own port.
-        for (GatewaySettings &settings : ledgers) {
-            for (const GatewaySettings &other : ledgers) {
+        for (GatewaySettings &settings : ledgerSettings) {
+            for (const GatewaySettings &other : ledgerSettings) {
                 settings.seeds.push_back(other.peer);
             }
         }
-        for (const GatewaySettings &settings : ledgers) {
+        for (const GatewaySettings &settings : ledgerSettings) {
             runLedger(settings);
         }
     }
     //! Starts an additional ledger VM.
     void addLedger(const std::string &failureDomain = "apapa")
     {
-        GatewaySettings settings = ledgerSettings();
+        GatewaySettings settings = newLedgerSettings();
         settings.failureDomain = failureDomain;
         settings.isFirstStart = false;
-        settings.seeds = ledgers.front().seeds;
-        ledgers.push_back(settings);
+        settings.seeds = ledgerSettings.front().seeds;
+        ledgerSettings.push_back(settings);
         runLedger(settings);
     }
-    ~System()
+    ~GatewayCluster()
     {
-        entries.clear();
-        running.clear();
+        entryThreads.clear();
+        ledgerThreads.clear();
         std::filesystem::remove_all(folder_);
     }
 
@@ -94,13 +94,13 @@
         return settings;
     }
 
-    //! Settings of a new ledger VM, which other processes reach through the proxy.
-    GatewaySettings ledgerSettings()
+    //! Settings of a new ledger VM, which other VMs reach through ledgerProxy.
+    GatewaySettings newLedgerSettings()
     {
-        GatewaySettings settings = commonSettings("ledger-" + std::to_string(ledgers.size()));
+        GatewaySettings settings = commonSettings("ledger-" + std::to_string(ledgerSettings.size()));
         settings.role = GatewayRole::Ledger;
         settings.peer = local(freePort());
-        link.forward(settings.peer, settings.peerListen);
+        ledgerProxy.forward(settings.peer, settings.peerListen);
         settings.control = local(freePort());
         settings.directory = local(freePort());
         settings.backendList = platform.listAddress();
@@ -115,7 +115,7 @@
     [[nodiscard]] std::vector<Address> seeds() const
     {
         std::vector<Address> addresses;
-        for (const GatewaySettings &ledger : ledgers) {
+        for (const GatewaySettings &ledger : ledgerSettings) {
             addresses.push_back(ledger.peer);
         }
         return addresses;
@@ -123,50 +123,52 @@
 
     const GatewaySettings &startEntry(const std::vector<Address> &seeds)
     {
-        GatewaySettings settings = commonSettings("entry-" + std::to_string(entries.size()));
+        GatewaySettings settings = commonSettings("entry-" + std::to_string(entryThreads.size()));
         settings.front = local(freePort());
         settings.ready = local(freePort());
         settings.seeds = seeds;
         entrySettings.push_back(settings);
-        entries.push_back(std::make_unique<GatewayThread>(settings));
-        BOOST_REQUIRE(entries.back()->isStarted());
+        entryThreads.push_back(std::make_unique<GatewayThread>(settings));
+        BOOST_REQUIRE(entryThreads.back()->isStarted());
         return entrySettings.back();
     }
-    //! Stops all ledger VMs.
+    //! Stops all ledger VMs at once, without a graceful shutdown.
     void killLedgers()
     {
-        running.clear();
+        ledgerThreads.clear();
     }
-    //! Restarts a ledger VM. After killLedgers() they are restarted in order.
+    //! Restarts a ledger VM, with an empty disk unless keepsDisk. After killLedgers(), documents can be put once the VM
+    //! with the highest index has been restarted.
     void restartLedger(std::size_t number, bool keepsDisk = true)
     {
-        GatewaySettings &settings = ledgers[number];
+        GatewaySettings &settings = ledgerSettings[number];
         settings.isFirstStart = false;
         if (!keepsDisk) {
             std::filesystem::remove_all(settings.dataFolder);
         }
-        if (running.size() <= number) {
-            running.resize(number + 1);
+        if (ledgerThreads.size() <= number) {
+            ledgerThreads.resize(number + 1);
         }
-        running[number].reset();
-        running[number] = std::make_unique<GatewayThread>(settings, disks[number]);
-        BOOST_REQUIRE(running[number]->isStarted());
+        ledgerThreads[number].reset();
+        ledgerThreads[number] = std::make_unique<GatewayThread>(settings, ledgerDisks[number]);
+        BOOST_REQUIRE(ledgerThreads[number]->isStarted());
     }
     //! Changes the seeds in the settings of all ledger VMs, from their next starts on.
     void changeLedgerSeeds(const std::vector<std::size_t> &numbers)
     {
         std::vector<Address> seeds;
         for (const std::size_t number : numbers) {
-            seeds.push_back(ledgers[number].peer);
+            seeds.push_back(ledgerSettings[number].peer);
         }
-        for (GatewaySettings &settings : ledgers) {
+        for (GatewaySettings &settings : ledgerSettings) {
             settings.seeds = seeds;
         }
     }
     //! True if a ledger VM is the leader or redirects control requests to it.
     [[nodiscard]] bool knowsLeader(std::size_t ledger)
     {
-        const unsigned status = platform.call(ledgers[ledger].control, "GET", "/cardamompost/configuration").status;
+        const unsigned status
+            = platform.call(ledgerSettings[ledger].control, "GET", "/cardamompost/configuration").status;
         return status == 200 || status == 307;
     }
     [[nodiscard]] unsigned readiness(std::size_t entry)
@@ -177,7 +179,7 @@
     Address addEntry(const std::vector<Address> &seeds)
     {
         const Address front = startEntry(seeds).front;
-        const bool isReady = eventually([&] { return readiness(entries.size() - 1) == 200; });
+        const bool isReady = eventually([&] { return readiness(entryThreads.size() - 1) == 200; });
         BOOST_REQUIRE(isReady);
         return front;
     }
@@ -188,15 +190,17 @@
         const std::size_t at = text.find("\n" + series + " ");
         return at == std::string::npos ? 0 : std::stod(text.substr(at + series.size() + 2));
     }
-    //! Waits until a ledger VM that lost its disk is complete and may vote.
-    [[nodiscard]] bool isRecovered(std::size_t ledger)
+    //! Waits until a ledger VM that lost its disk holds all data and may vote. \returns false after a timeout
+    [[nodiscard]] bool waitUntilRecovered(std::size_t ledger)
     {
-        return eventually([&] { return metricValue(ledgers[ledger].directory, "cardamompost_ledger_whole") == 1; });
+        return eventually(
+            [&] { return metricValue(ledgerSettings[ledger].directory, "cardamompost_ledger_whole") == 1; });
     }
     //! The directory response with the addresses of entries.
     [[nodiscard]] std::string directory()
     {
-        return platform.call(ledgers.front().directory, "GET", "/cardamompost/resolution?name=h.example&zone=apapa")
+        return platform
+            .call(ledgerSettings.front().directory, "GET", "/cardamompost/resolution?name=h.example&zone=apapa")
             .body;
     }
 
@@ -219,15 +223,15 @@
     }
     std::size_t put(const std::string &text)
     {
-        std::size_t leader = ledgers.size();
+        std::size_t leader = ledgerSettings.size();
         const bool isAcknowledged = eventually([&] {
-            for (std::size_t i = 0; i < ledgers.size() && leader == ledgers.size(); ++i) {
-                const HttpResponse answer = running[i] == nullptr
+            for (std::size_t i = 0; i < ledgerSettings.size() && leader == ledgerSettings.size(); ++i) {
+                const HttpResponse answer = ledgerThreads[i] == nullptr
                     ? HttpResponse {0, {}, {}}
-                    : platform.call(ledgers[i].control, "PUT", "/cardamompost/configuration", {}, text);
+                    : platform.call(ledgerSettings[i].control, "PUT", "/cardamompost/configuration", {}, text);
                 leader = answer.status == 200 ? i : leader;
             }
-            return leader != ledgers.size();
+            return leader != ledgerSettings.size();
         });
         BOOST_REQUIRE(isAcknowledged);
         return leader;
@@ -303,22 +307,22 @@
     }
 
     FakePlatform platform;
-    FaultInjectingProxy link;
-    std::vector<GatewaySettings> ledgers;
+    FaultInjectingProxy ledgerProxy;
+    std::vector<GatewaySettings> ledgerSettings;
     std::vector<GatewaySettings> entrySettings;
-    std::vector<std::unique_ptr<GatewayThread>> running;
-    //! Disk faults of the ledger VMs.
-    std::vector<FaultInjectingFiles::SharedFaults> disks;
-    std::vector<std::unique_ptr<GatewayThread>> entries;
+    std::vector<std::unique_ptr<GatewayThread>> ledgerThreads;
+    //! Disk faults of each ledger VM.
+    std::vector<FaultInjectingFiles::SharedFaults> ledgerDisks;
+    std::vector<std::unique_ptr<GatewayThread>> entryThreads;
 
 private:
-    static constexpr int founders = 3;
+    static constexpr int founderCount = 3;
 
     void runLedger(const GatewaySettings &settings)
     {
-        disks.push_back(std::make_shared<DiskFaults>());
-        running.push_back(std::make_unique<GatewayThread>(settings, disks.back()));
-        BOOST_REQUIRE(running.back()->isStarted());
+        ledgerDisks.push_back(std::make_shared<DiskFaults>());
+        ledgerThreads.push_back(std::make_unique<GatewayThread>(settings, ledgerDisks.back()));
+        BOOST_REQUIRE(ledgerThreads.back()->isStarted());
     }
 
     std::filesystem::path folder_;
@@ -326,4 +330,4 @@
 
 } // namespace cardamompost::tests
 
-#endif // CARDAMOMPOST_TESTS_CP_PLATFORM_SYSTEM_HPP_INCLUDED
+#endif // CARDAMOMPOST_TESTS_CP_GATEWAY_CLUSTER_HPP_INCLUDED
