--- a/include/cardamompost/ledger/cp_ledger_clock.hpp
+++ b/include/cardamompost/ledger/cp_ledger_clock.hpp
@@ -21,16 +21,16 @@
     void resumeFrom(std::int64_t lastMs, TimePoint now)
     {
         lastMs_ = lastMs;
-        since_ = now;
+        resumedAt_ = now;
     }
     [[nodiscard]] std::int64_t nowMs(TimePoint now) const
     {
-        return lastMs_ + toMs(now - since_);
+        return lastMs_ + toMs(now - resumedAt_);
     }
 
 private:
     std::int64_t lastMs_ = 0;
-    TimePoint since_ {};
+    TimePoint resumedAt_ {};
 };
 
 } // namespace cardamompost
--- a/include/cardamompost/ledger/cp_ledger_command.hpp
+++ b/include/cardamompost/ledger/cp_ledger_command.hpp
@@ -17,10 +17,10 @@
     std::string bytes;
 };
 
-//! Registers a VM that can become a member of the ledger, or marks it as retiring.
+//! Registers a VM that can become a member of the consensus group, or marks it as retiring.
 struct LedgerVm {
     VmName vm;
-    //! Address, which is also its name in the consensus group.
+    //! Address of the VM, which is also its name in the consensus group.
     std::string peer;
     bool isRetiring = false;
 
--- a/include/cardamompost/ledger/cp_ledger_message.hpp
+++ b/include/cardamompost/ledger/cp_ledger_message.hpp
@@ -14,7 +14,7 @@
 //! Registers a VM with the leader as a candidate for membership, and asks for the current group and term.
 struct JoinRequest {
     VmName vm;
-    //! Address, which is also its name in the consensus group.
+    //! Address of the VM, which is also its name in the consensus group.
     std::string peer;
     //! Log index up to which the VM holds all state, including turn texts; 0 while any is missing.
     LogIndex completeUpTo = 0;
@@ -28,7 +28,7 @@
     //! Term of that leader.
     Term term = 0;
     std::uint64_t documentVersion = 0;
-    //! Addresses.
+    //! Addresses of the voters; without a known leader, of VMs that may know it.
     std::vector<VmName> members;
 
     friend bool operator==(const GroupView &, const GroupView &) = default;
@@ -164,7 +164,8 @@
     BackendBuckets::Digests listDigests;
     //! Time since the entry learned that its content is stale; 0 if it is not known to be.
     std::uint32_t staleMs = 0;
-    //! How long the leader may wait for a change before it answers.
+    //! How long the receiver may wait before it answers. With wantsContent, a leader waits for newer content; without
+    //! it, any other VM waits until it leads.
     std::uint32_t waitMs = 0;
     //! False to ask only for the leader and members.
     bool wantsContent = true;
--- a/include/cardamompost/ledger/cp_ledger_state.hpp
+++ b/include/cardamompost/ledger/cp_ledger_state.hpp
@@ -53,7 +53,7 @@
     {
         return usage_;
     }
-    //! LedgerClock time of the last command.
+    //! Highest LedgerClock time of the applied commands.
     [[nodiscard]] std::int64_t nowMs() const
     {
         return nowMs_;
@@ -111,8 +111,8 @@
     void applyFinish(const TurnFinish &finish, LogIndex index);
     void applyVm(const LedgerVm &vm);
     void retainTurn(const TurnFinish &finish, LogIndex index);
-    void extendHistory(const std::string &last, std::int64_t expiresMs);
-    void touchProgram(Program &program, std::uint32_t retentionMs);
+    void extendHistoryRetention(const std::string &last, std::int64_t expiresMs);
+    void extendProgramRetention(Program &program, std::uint32_t retentionMs);
     void expire();
 
     std::int64_t nowMs_ = 0;
--- a/include/cardamompost/ledger/cp_member_planner.hpp
+++ b/include/cardamompost/ledger/cp_member_planner.hpp
@@ -14,11 +14,12 @@
     bool isLive = false;
     //! An operator is draining the VM.
     bool isRetiring = false;
-    //! As a learner, the VM holds all committed entries.
+    //! The VM holds all committed entries, and the texts of all turns up to the leader's snapshot. Considered only for
+    //! learners.
     bool isCaughtUp = false;
     //! VMs with an unknown (empty) failure domain count as one domain.
     std::string failureDomain;
-    //! The leader is moved only if there is no other voter in a failure domain with as many voters.
+    //! To balance failure domains, the leader is removed only if no other voter is in a domain with as many voters.
     bool isLeader = false;
 };
 
--- a/include/cardamompost/ledger/cp_membership_cache.hpp
+++ b/include/cardamompost/ledger/cp_membership_cache.hpp
@@ -22,9 +22,10 @@
     //! stored
     bool update(const GroupView &groupView);
 
-    [[nodiscard]] const GroupView &last() const
+    //! The view recorded last, for diagnostics.
+    [[nodiscard]] const GroupView &lastView() const
     {
-        return last_;
+        return lastView_;
     }
     //! Peers to contact, the most recent members first.
     [[nodiscard]] const std::vector<VmName> &peers() const
@@ -40,7 +41,7 @@
     [[nodiscard]] static Result<Stored> decode(const std::string &bytes);
 
 private:
-    GroupView last_;
+    GroupView lastView_;
     std::vector<VmName> peers_;
 };
 
--- a/include/cardamompost/ledger/cp_update_queue.hpp
+++ b/include/cardamompost/ledger/cp_update_queue.hpp
@@ -74,11 +74,11 @@
     //! Removes and returns the requests whose deadline has passed.
     [[nodiscard]] std::vector<PendingRequest> takeExpired(TimePoint now)
     {
-        const auto isOpen = [now](const PendingRequest &pending) { return now < pending.deadline; };
-        if (std::all_of(pending_.begin(), pending_.end(), isOpen)) {
+        const auto isBeforeDeadline = [now](const PendingRequest &pending) { return now < pending.deadline; };
+        if (std::all_of(pending_.begin(), pending_.end(), isBeforeDeadline)) {
             return {};
         }
-        const auto expired = std::stable_partition(pending_.begin(), pending_.end(), isOpen);
+        const auto expired = std::stable_partition(pending_.begin(), pending_.end(), isBeforeDeadline);
         std::vector<PendingRequest> taken(std::make_move_iterator(expired), std::make_move_iterator(pending_.end()));
         pending_.erase(expired, pending_.end());
         return taken;
--- a/src/cardamompost/ledger/cp_ledger_state.cpp
+++ b/src/cardamompost/ledger/cp_ledger_state.cpp
@@ -92,7 +92,7 @@
         return status;
     }
     Program &program = programs_[begin.program];
-    touchProgram(program, begin.retentionMs);
+    extendProgramRetention(program, begin.retentionMs);
     if (status == TurnBeginStatus::Granted) {
         program.reservations.emplace(begin.turn, begin.maxTokens);
     }
@@ -103,7 +103,7 @@
 {
     if (!finish.program.empty()) {
         Program &program = programs_[finish.program];
-        touchProgram(program, finish.retentionMs);
+        extendProgramRetention(program, finish.retentionMs);
         // A repeated finish finds no reservation and is not charged again.
         if (program.reservations.erase(finish.turn) != 0) {
             program.spent += finish.ending == TurnEnding::NotRun ? 0 : finish.tokens;
@@ -124,10 +124,10 @@
         turnBytes_ += bytes;
         texts_.add(index, finish.input + finish.output);
     }
-    extendHistory(finish.turn, expiresMs);
+    extendHistoryRetention(finish.turn, expiresMs);
 }
 
-void LedgerState::extendHistory(const std::string &last, std::int64_t expiresMs)
+void LedgerState::extendHistoryRetention(const std::string &last, std::int64_t expiresMs)
 {
     auto turn = turns_.find(last);
     for (std::size_t steps = 0; turn != turns_.end() && steps < maxHistoryTurns; ++steps) {
@@ -136,7 +136,7 @@
     }
 }
 
-void LedgerState::touchProgram(Program &program, std::uint32_t retentionMs)
+void LedgerState::extendProgramRetention(Program &program, std::uint32_t retentionMs)
 {
     program.expiresMs = std::max(program.expiresMs, nowMs_ + retentionMs + expiryMarginMs);
 }
--- a/src/cardamompost/ledger/cp_member_planner.cpp
+++ b/src/cardamompost/ledger/cp_member_planner.cpp
@@ -101,8 +101,8 @@
 }
 
 //! True if a new voter is needed to reach the desired number, to replace a voter, or to balance failure domains.
-bool needsVoter(const Membership &current, const MemberCandidates &candidates, const DomainCounts &counts,
-                std::size_t desiredVoters)
+bool needsNewVoter(const Membership &current, const MemberCandidates &candidates, const DomainCounts &counts,
+                   std::size_t desiredVoters)
 {
     if (current.voters.size() < desiredVoters || findVoterToReplace(current, candidates)) {
         return true;
@@ -130,10 +130,10 @@
             return next;
         }
     }
-    const bool isNeeded = needsVoter(current, candidates, counts, desiredVoters);
+    const bool isNewVoterNeeded = needsNewVoter(current, candidates, counts, desiredVoters);
     for (const VmName &learner : current.learners) {
         const MemberCandidate &candidate = find(candidates, learner);
-        if (!isEligible(candidate) || !isNeeded) {
+        if (!isEligible(candidate) || !isNewVoterNeeded) {
             next.learners.erase(learner);
             return next;
         }
@@ -144,7 +144,7 @@
         }
     }
     const std::optional<VmName> newVoter = findNewVoter(current, candidates, counts);
-    if (!isNeeded || !current.learners.empty() || !newVoter) {
+    if (!isNewVoterNeeded || !current.learners.empty() || !newVoter) {
         return std::nullopt;
     }
     next.learners.insert(*newVoter);
--- a/src/cardamompost/ledger/cp_membership_cache.cpp
+++ b/src/cardamompost/ledger/cp_membership_cache.cpp
@@ -10,9 +10,9 @@
 bool MembershipCache::update(const GroupView &groupView)
 {
     // The document version is ignored: it changes often and does not help to find the group.
-    const bool hasChanged
-        = groupView.leader != last_.leader || groupView.term != last_.term || groupView.members != last_.members;
-    last_ = groupView;
+    const bool hasChanged = groupView.leader != lastView_.leader || groupView.term != lastView_.term
+        || groupView.members != lastView_.members;
+    lastView_ = groupView;
     std::vector<VmName> peers = groupView.members;
     if (!groupView.leader.empty() && std::ranges::find(peers, groupView.leader) == peers.end()) {
         peers.push_back(groupView.leader);
@@ -31,7 +31,7 @@
     capnp::MallocMessageBuilder message;
     auto out = message.initRoot<schema::StoredPeerBook>();
     out.setWrittenAtMs(wallMs);
-    encodeGroupView(last_, out.initLast());
+    encodeGroupView(lastView_, out.initLast());
     encodeTexts(peers_, out.initPeers(static_cast<unsigned>(peers_.size())));
     return toBytes(message);
 }
@@ -43,7 +43,7 @@
         const auto in = message.root<schema::StoredPeerBook>();
         Stored stored;
         stored.wallMs = in.getWrittenAtMs();
-        stored.cache.last_ = decodeGroupView(in.getLast());
+        stored.cache.lastView_ = decodeGroupView(in.getLast());
         stored.cache.peers_ = decodeTexts(in.getPeers());
         return stored;
     } catch (const kj::Exception &) {
--- a/src/gateway/cp_group_discovery.cpp
+++ b/src/gateway/cp_group_discovery.cpp
@@ -13,6 +13,7 @@
 
 // Batches successive membership changes into one write.
 constexpr Milliseconds storeDelay {200};
+// The cache is stored as a snapshot record, whose term is not used.
 constexpr Term cacheTerm = 1;
 
 std::int64_t wallNowMs()
@@ -41,7 +42,7 @@
         return;
     }
     cache_ = std::move(cache.value().cache);
-    const GroupView &last = cache_.last();
+    const GroupView &last = cache_.lastView();
     parts_.log.info("ledger.remembered",
                     {{"leader", last.leader},
                      {"term", last.term},
@@ -112,7 +113,7 @@
     job.prepare = [revision = ++revision_, bytes = cache_.encode(wallNowMs())](LogStore & /*store*/, LogBatch &batch) {
         batch.putSnapshot(membershipCacheGroup, {revision, cacheTerm, {}, bytes});
     };
-    job.finish = [&log = parts_.log, term = cache_.last().term](const Result<void> &written) {
+    job.finish = [&log = parts_.log, term = cache_.lastView().term](const Result<void> &written) {
         log.info("ledger.way_stored", {{"term", term}, {"stored", written.has_value()}});
     };
     parts_.disk.post(std::move(job));
--- a/src/gateway/cp_group_discovery.hpp
+++ b/src/gateway/cp_group_discovery.hpp
@@ -34,7 +34,7 @@
 
     //! Records the view of a leader that its quorum has just confirmed.
     void recordConfirmed(const GroupView &group);
-    //! Records the notice of an unconfirmed leader. \returns true when it differs from the known one
+    //! Records the notice of an unconfirmed leader. \returns true if it is not the leader known before
     bool recordNotice(const GroupView &group);
     //! Records the view of a VM that isn't a confirmed leader; its leader may be empty.
     void recordHint(const GroupView &group);
--- a/tests/ledger/cp_ledger_state.tests.cpp
+++ b/tests/ledger/cp_ledger_state.tests.cpp
@@ -11,9 +11,9 @@
 constexpr std::int64_t startMs = 1'000'000;
 constexpr std::uint32_t retentionMs = 60'000;
 
-TurnBegin begin(std::string turn, std::int64_t most = 100, std::int64_t budget = 250, std::string previous = {})
+TurnBegin begin(std::string turn, std::int64_t maxTokens = 100, std::int64_t budget = 250, std::string previous = {})
 {
-    return {std::move(turn), "program", std::move(previous), most, budget, retentionMs};
+    return {std::move(turn), "program", std::move(previous), maxTokens, budget, retentionMs};
 }
 
 TurnFinish finish(std::string turn, std::int64_t tokens, TurnEnding ending = TurnEnding::Complete,
@@ -91,7 +91,7 @@
     BOOST_TEST(state.turnCount() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(turn_that_did_not_run_is_free_and_broken_turn_is_charged_for_returned_tokens)
+BOOST_AUTO_TEST_CASE(turn_that_did_not_run_is_free_and_interrupted_turn_is_charged_for_returned_tokens)
 {
     LedgerState state;
     apply(state, begin("a", 200));
@@ -127,8 +127,8 @@
     BOOST_TEST(state.turnBytes() == (std::string("in-x;out-x\n") + "in-y;out-y\n").size());
 }
 
-// Guards against early or postponed expiry after a leader change between VMs with different clocks.
-BOOST_AUTO_TEST_CASE(leaders_after_each_other_lose_nothing_whatever_their_clocks_say)
+// Guards against early or late expiry after a leader change between VMs with different clocks.
+BOOST_AUTO_TEST_CASE(leader_change_neither_shortens_nor_restarts_the_retention_time)
 {
     LedgerState state;
     const TimePoint start {};
--- a/tests/ledger/cp_membership_cache.tests.cpp
+++ b/tests/ledger/cp_membership_cache.tests.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr std::int64_t writtenAt = 1'700'000'000'000;
+constexpr std::int64_t writtenAtMs = 1'700'000'000'000;
 
 GroupView groupView(Term term, std::vector<VmName> members, std::uint64_t document = 1)
 {
@@ -24,10 +24,10 @@
     MembershipCache cache;
     cache.update(groupView(3, {"a:1", "b:1", "c:1"}, 17));
     cache.update(groupView(4, {"b:1", "c:1", "d:1"}, 18));
-    const auto stored = MembershipCache::decode(cache.encode(writtenAt));
+    const auto stored = MembershipCache::decode(cache.encode(writtenAtMs));
     BOOST_REQUIRE(stored.has_value());
-    BOOST_TEST(stored.value().wallMs == writtenAt);
-    BOOST_TEST((stored.value().cache.last() == cache.last()));
+    BOOST_TEST(stored.value().wallMs == writtenAtMs);
+    BOOST_TEST((stored.value().cache.lastView() == cache.lastView()));
     BOOST_TEST((stored.value().cache.peers() == cache.peers()));
 }
 
--- a/tests/ledger/cp_update_queue.tests.cpp
+++ b/tests/ledger/cp_update_queue.tests.cpp
@@ -120,6 +120,7 @@
 // Guards against starvation of some entries when changes need more bandwidth than the limit allows.
 BOOST_AUTO_TEST_CASE(no_entry_waits_much_longer_than_it_takes_to_serve_all_entries_once)
 {
+    // 67 answers of 1 MiB at 24 MiB/s.
     constexpr Milliseconds serveAll {2800};
     UpdateSimulation simulation(static_cast<std::size_t>(megabyte));
     simulation.run(Milliseconds(15'000), Milliseconds(330));
