--- a/src/gateway/cp_consensus_driver.cpp
+++ b/src/gateway/cp_consensus_driver.cpp
@@ -136,10 +136,10 @@
 
 void ConsensusDriver::processReady()
 {
-    if (isBusy_ || isStopped_ || !node_->hasReady() || mustDeferRound()) {
+    if (isProcessingReady_ || isStopped_ || !node_->hasReady() || mustDeferRound()) {
         return;
     }
-    isBusy_ = true;
+    isProcessingReady_ = true;
     store(std::make_shared<RaftReady>(node_->takeReady()));
 }
 
@@ -214,7 +214,7 @@
     completeReads(ready);
     compactIfDue();
     state_.onChange();
-    isBusy_ = false;
+    isProcessingReady_ = false;
     processReady();
 }
 
--- a/src/gateway/cp_consensus_driver.hpp
+++ b/src/gateway/cp_consensus_driver.hpp
@@ -106,7 +106,8 @@
     void expireProposals(TimePoint now);
     void reconnectIfSilent(const VmName &member);
     void processReady();
-    //! Limits the rate of a leader's rounds. \returns true if the next round has been scheduled for later
+    //! Limits how often a leader writes and sends what its node has ready, which is one round.
+    //! \returns true if the next round has been scheduled for later
     [[nodiscard]] bool mustDeferRound();
     void store(const std::shared_ptr<RaftReady> &ready);
     void complete(RaftReady &ready);
@@ -129,10 +130,13 @@
     bool isRoundScheduled_ = false;
     TimePoint lastRoundAt_ {};
     std::optional<RaftNode> node_;
-    bool isBusy_ = false;
+    //! The last RaftReady is still being stored or applied.
+    bool isProcessingReady_ = false;
     bool isStopped_ = false;
     std::map<LogIndex, Proposal> proposals_;
+    //! Reads that a quorum has not confirmed yet, by id.
     std::map<std::uint64_t, std::function<void(bool)>> reads_;
+    //! Confirmed reads, by the log index that has to be applied first.
     std::multimap<LogIndex, std::function<void(bool)>> confirmedReads_;
     std::uint64_t nextRead_ = 1;
     LogIndex applied_ = 0;
--- a/src/gateway/cp_ledger_api.cpp
+++ b/src/gateway/cp_ledger_api.cpp
@@ -90,7 +90,8 @@
 
 asio::awaitable<HttpResponse> LedgerApi::getDocument(const HttpRequest &request)
 {
-    auto confirm = [this](std::function<void(OperationResult)> done) { parts_.service.confirm(std::move(done)); };
+    auto confirm
+        = [this](std::function<void(OperationResult)> done) { parts_.service.confirmLeadership(std::move(done)); };
     const OperationResult result = co_await awaitCallback<OperationResult>(std::move(confirm));
     if (result == OperationResult::Done && parts_.service.state().document().empty()) {
         co_return unavailableResponse(notConfirmed);
@@ -109,7 +110,7 @@
         if (isPost) {
             parts_.service.retire(vm, std::move(done));
         } else {
-            parts_.service.retirement(vm, std::move(done));
+            parts_.service.queryRetirement(vm, std::move(done));
         }
     };
     const OperationResult result = co_await awaitCallback<OperationResult>(std::move(operation));
--- a/src/gateway/cp_ledger_begins.cpp
+++ b/src/gateway/cp_ledger_begins.cpp
@@ -59,7 +59,7 @@
         // Jitter keeps rejected requests from being retried all at once.
         const auto jitter = static_cast<std::uint32_t>(randomIdentity() % retryAfterJitter.count());
         const auto retryAfter = static_cast<std::uint32_t>(minRetryAfter.count()) + jitter;
-        overloaded_.add();
+        overloadedTurns_.add();
         replier->reply(TurnBeginReply {TurnBeginStatus::Overloaded, self_, {}, {}, retryAfter});
         return;
     }
@@ -87,17 +87,17 @@
 
 Milliseconds LedgerService::commitDelay(TimePoint now)
 {
-    while (!proposed_.empty() && proposed_.front().second->decided) {
-        proposed_.pop_front();
+    while (!proposedBegins_.empty() && proposedBegins_.front().second->decided) {
+        proposedBegins_.pop_front();
     }
-    return proposed_.empty() ? Milliseconds(0)
-                             : std::chrono::duration_cast<Milliseconds>(now - proposed_.front().first);
+    return proposedBegins_.empty() ? Milliseconds(0)
+                                   : std::chrono::duration_cast<Milliseconds>(now - proposedBegins_.front().first);
 }
 
 bool LedgerService::isOverloaded(const TurnBegin &begin, TimePoint now)
 {
     // Sheds load that the ledger can't commit in time. Programs in progress are admitted for longer than new ones.
-    return commitDelay(now) >= (isInProgress(begin) ? maxCommitDelayInProgress : maxCommitDelayNew);
+    return commitDelay(now) >= (isProgramInProgress(begin) ? maxCommitDelayInProgress : maxCommitDelayNew);
 }
 
 void LedgerService::applyAccountLimit(const std::shared_ptr<ActiveBegin> &active)
@@ -114,7 +114,7 @@
         }
         const TurnBegin &turn = active->begin;
         const RequestLimiter::Decision decision
-            = limiter_.admit({turn.account, turn.turn, !isInProgress(turn)}, std::chrono::steady_clock::now());
+            = limiter_.admit({turn.account, turn.turn, !isProgramInProgress(turn)}, std::chrono::steady_clock::now());
         if (decision.isAdmitted) {
             reportUsage();
             runAfter(decision.delay, [this, active] { readHistory(active); });
@@ -150,7 +150,7 @@
 void LedgerService::recordLimited(const std::string &account, const std::string &id,
                                   const RequestLimiter::Decision &decision)
 {
-    limited_.add();
+    limitedRequests_.add();
     parts_.log.info("request.limited",
                     {{"id", unscopedId(id)},
                      {"account", account},
@@ -202,7 +202,7 @@
     });
 }
 
-bool LedgerService::isInProgress(const TurnBegin &begin) const
+bool LedgerService::isProgramInProgress(const TurnBegin &begin) const
 {
     return !begin.previous.empty() || state_.spent(begin.program) != 0 || state_.reserved(begin.program) != 0;
 }
@@ -232,7 +232,7 @@
                          false,
                          false,
                          Milliseconds(placement.timeLeftMs)};
-    request.isInProgress = isInProgress(begin);
+    request.isInProgress = isProgramInProgress(begin);
     request.isLate = placement.programTimeLeftMs < 0;
     placement_.request(std::move(request), now,
                        [this, active](const std::string &backend) { onPlaced(*active, backend); });
@@ -303,14 +303,14 @@
     TurnBegin record = active->begin;
     record.placement = {};
     record.account.clear();
-    proposed_.emplace_back(std::chrono::steady_clock::now(), active);
+    proposedBegins_.emplace_back(std::chrono::steady_clock::now(), active);
     propose(std::move(record), [this, active](bool isCommitted) {
         const auto pending = pendingTokens_.find(active->begin.program);
         pending->second -= active->begin.maxTokens;
         if (pending->second == 0) {
             pendingTokens_.erase(pending);
         }
-        onDecided(*active, isCommitted ? lastApplied_ : TurnBeginStatus::NotLeader);
+        onDecided(*active, isCommitted ? lastApplyStatus_ : TurnBeginStatus::NotLeader);
     });
 }
 
@@ -332,13 +332,13 @@
         replier->reply(TurnFinishReply {true, self_});
         return;
     }
-    if (const auto [waiting, isNew] = finishes_.try_emplace(turn, replier); !isNew) {
+    if (const auto [waiting, isNew] = finishRepliers_.try_emplace(turn, replier); !isNew) {
         // A retry while the command is proposed: only the latest request is answered.
         waiting->second = replier;
         return;
     }
     propose(std::move(finish), [this, turn](bool isCommitted) {
-        const Replier waiting = std::move(finishes_.extract(turn).mapped());
+        const Replier waiting = std::move(finishRepliers_.extract(turn).mapped());
         waiting->reply(TurnFinishReply {isCommitted, driver_.leader()});
     });
 }
--- a/src/gateway/cp_ledger_client.cpp
+++ b/src/gateway/cp_ledger_client.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-void PendingBegin::signal()
+void PendingBegin::notifyWaiters()
 {
     changed_.cancel();
 }
@@ -118,7 +118,7 @@
         pending.isTentative_ = true;
         pending.history_ = std::move(answer->history);
         pending.backend_ = std::move(answer->backend);
-        pending.signal();
+        pending.notifyWaiters();
         return;
     }
     if (!isLast) {
@@ -133,7 +133,7 @@
     pending.status_ = answer->status;
     pending.retryAfter_ = Milliseconds(answer->retryAfterMs);
     pending.isFinal_ = true;
-    pending.signal();
+    pending.notifyWaiters();
 }
 
 void LedgerClient::resendLater(const std::shared_ptr<BeginAttempt> &attempt)
@@ -141,7 +141,7 @@
     beginRetries_.add();
     if (timeNow() + retryInterval >= attempt->deadline || isStopped_) {
         attempt->pending->isFinal_ = true;
-        attempt->pending->signal();
+        attempt->pending->notifyWaiters();
         return;
     }
     auto timer = std::make_shared<asio::steady_timer>(parts_.io, retryInterval);
@@ -217,22 +217,22 @@
 
 void LedgerClient::applyUpdate(const UpdateReply &update)
 {
-    members_ = update.members;
+    ledgerVms_ = update.members;
     voters_ = update.voters;
     leaderTerm_ = update.term;
     const Milliseconds age = updateAge();
-    lastUpdate_ = timeNow();
+    lastUpdateAt_ = timeNow();
     if (!hasLeader_) {
         hasLeader_ = true;
         parts_.log.info("ledger.found", {{"leader", leader_}, {"news_age_ms", age.count()}});
     }
-    staleness_.recordLatestVersion(update.documentVersion, lastUpdate_);
+    staleness_.recordLatestVersion(update.documentVersion, lastUpdateAt_);
     onUpdate_(update);
     const bool isListStale = updateRequest_.list < update.list;
     if (!staleness_.isStale() && !isListStale) {
         staleSince_.reset();
     } else if (!staleSince_) {
-        staleSince_ = lastUpdate_;
+        staleSince_ = lastUpdateAt_;
     }
 }
 
@@ -250,7 +250,7 @@
     watchVoters();
     const Presence presence {parts_.settings.vm, parts_.settings.front.toString(), parts_.settings.failureDomain,
                              isReady};
-    for (const VmName &peer : knownMembers()) {
+    for (const VmName &peer : knownLedgerVms()) {
         if (const auto client = parts_.peers.client(peer)) {
             client->notify(presence);
         }
@@ -259,7 +259,7 @@
 
 Milliseconds LedgerClient::updateAge() const
 {
-    return std::chrono::duration_cast<Milliseconds>(timeNow() - lastUpdate_);
+    return std::chrono::duration_cast<Milliseconds>(timeNow() - lastUpdateAt_);
 }
 
 } // namespace cardamompost
--- a/src/gateway/cp_ledger_client.hpp
+++ b/src/gateway/cp_ledger_client.hpp
@@ -63,7 +63,8 @@
 
 private:
     friend class LedgerClient;
-    void signal();
+    //! Resumes the coroutines that wait for a change of the status.
+    void notifyWaiters();
 
     boost::asio::steady_timer changed_;
     bool isTentative_ = false;
@@ -102,7 +103,7 @@
     //! Announces to all known ledger VMs whether this entry accepts requests.
     void announcePresence(bool isReady);
 
-    //! The versions that an entry holds, as sent with its next update request.
+    //! Versions and digests of the content that an entry holds, as sent with its next update request.
     struct HeldContent {
         std::uint64_t documentVersion = 0;
         BackendListVersion list;
@@ -111,9 +112,9 @@
     };
     void setHeldContent(HeldContent content);
     //! Number of known ledger VMs.
-    [[nodiscard]] std::size_t memberCount() const
+    [[nodiscard]] std::size_t ledgerVmCount() const
     {
-        return knownMembers().size();
+        return knownLedgerVms().size();
     }
     //! Time since the last reply of a leader.
     [[nodiscard]] Milliseconds updateAge() const;
@@ -123,7 +124,7 @@
     }
     //! Updates arrive at least twice a second; beyond this age an entry's data counts as stale.
     static constexpr Milliseconds maxUpdateAge {1000};
-    //! A recent reply of the leader confirms that the document in force here is the newest.
+    //! A recent reply of the leader confirms that this entry's document is the newest.
     [[nodiscard]] bool hasNewestDocument() const
     {
         return updateAge() <= maxUpdateAge && !staleness_.isStale();
@@ -142,7 +143,7 @@
         TurnBegin begin;
         TimePoint deadline;
         std::shared_ptr<PendingBegin> pending;
-        //! The leader has queued the turn until an engine slot is free.
+        //! The leader has queued the turn until a backend server has a free slot.
         bool isQueued = false;
     };
 
@@ -171,7 +172,7 @@
     void queryLeader(const VmName &peer);
     //! Logs a search that takes long, with the known ledger VMs.
     void logSearch();
-    //! Keeps a pending request at each other voter, which it answers as soon as it becomes the leader.
+    //! Keeps a request pending at each voter except the leader; the voter answers as soon as it becomes the leader.
     void watchVoters();
     void watch(const VmName &peer);
     void adoptLeader(const VmName &peer, const UpdateReply &update);
@@ -181,11 +182,12 @@
     void suspectLeader(const VmName &peer, const Result<FrameBody> &reply, const std::string &reason);
     //! The VMs that the next round of a search queries.
     [[nodiscard]] std::vector<VmName> nextSearchTargets();
-    [[nodiscard]] std::set<VmName> knownMembers() const;
+    [[nodiscard]] std::set<VmName> knownLedgerVms() const;
 
     Parts parts_;
     std::vector<VmName> seeds_;
-    std::vector<VmName> members_;
+    //! All ledger VMs, members or not, as reported by a leader or, during a search, by other VMs.
+    std::vector<VmName> ledgerVms_;
     //! The voters, as last reported by a leader.
     std::vector<VmName> voters_;
     //! Empty during a search.
@@ -193,11 +195,11 @@
     Term leaderTerm_ = 0;
     bool isSearching_ = false;
     //! A check whether the leader still leads is in flight.
-    bool isSuspected_ = false;
+    bool isCheckingLeader_ = false;
     //! Rounds of searches so far; selects the non-voters to query next.
-    std::size_t searches_ = 0;
+    std::size_t searchRounds_ = 0;
     TimePoint searchingSince_ {};
-    TimePoint lastSearchLog_ {};
+    TimePoint lastSearchLogAt_ {};
     boost::asio::steady_timer searchTimer_;
     //! Voters with a pending watch request.
     std::set<VmName> watched_;
@@ -206,7 +208,7 @@
     //! When the leader was first known to have a newer document or list; empty while this entry is up to date.
     std::optional<TimePoint> staleSince_;
     UpdateHandler onUpdate_;
-    TimePoint lastUpdate_ {};
+    TimePoint lastUpdateAt_ {};
     bool isStopped_ = false;
     bool hasLeader_ = false;
     Counter &beginRetries_;
--- a/src/gateway/cp_ledger_members.cpp
+++ b/src/gateway/cp_ledger_members.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr Milliseconds joinInterval {500};
-// Shorter for a VM without data, which reduces redundancy until it has joined.
+// Shorter than joinInterval, since a VM without data reduces redundancy until it has joined.
 constexpr Milliseconds uninitializedJoinInterval {120};
 constexpr Milliseconds joinTimeout {400};
 constexpr Milliseconds planInterval {200};
@@ -42,7 +42,7 @@
     return {known.begin(), known.end()};
 }
 
-std::vector<VmName> LedgerService::otherMembers() const
+std::vector<VmName> LedgerService::otherVoters() const
 {
     std::vector<VmName> others;
     if (!driver_.isStarted()) {
@@ -101,8 +101,8 @@
     if (!leads()) {
         return;
     }
-    // After a full outage, VMs outside the group and entries may know only seeds that aren't members. The leader knows
-    // their addresses from its table and its settings, and notifies those that send it no join requests.
+    // After a full outage, a VM outside the group may know only seeds that aren't members, and so may the entries that
+    // query it. The leader knows the VMs from its state and settings, and notifies those that send it no join requests.
     const TimePoint now = std::chrono::steady_clock::now();
     const LeaderNotice notice {groupView()};
     const std::vector<VmName> peers = knownPeers();
@@ -113,7 +113,8 @@
     known.erase(self_);
     for (const VmName &peer : known) {
         const auto requester = joinRequesters_.find(peer);
-        const bool isSilent = requester == joinRequesters_.end() || now - requester->second.at > silentPeerTimeout;
+        const bool isSilent
+            = requester == joinRequesters_.end() || now - requester->second.requestedAt > silentPeerTimeout;
         const auto client = isSilent ? parts_.peers.client(peer) : nullptr;
         if (client) {
             client->notify(notice);
@@ -153,10 +154,10 @@
         return;
     }
     searchingSince_ = searchingSince_.value_or(now);
-    if (now - *searchingSince_ < minLoggedSearch || now - lastSearchLog_ < searchLogInterval) {
+    if (now - *searchingSince_ < minLoggedSearch || now - lastSearchLogAt_ < searchLogInterval) {
         return;
     }
-    lastSearchLog_ = now;
+    lastSearchLogAt_ = now;
     parts_.log.warn("ledger.searching",
                     {{"for_ms", toMs(now - *searchingSince_)},
                      {"asked", target},
@@ -236,7 +237,7 @@
 
 void LedgerService::retire(const VmName &vm, OperationCallback done)
 {
-    confirm([this, vm, done = std::move(done)](OperationResult confirmed) {
+    confirmLeadership([this, vm, done = std::move(done)](OperationResult confirmed) {
         const auto found = state_.vms().find(vm);
         if (confirmed != OperationResult::Done || found == state_.vms().end()) {
             done(confirmed == OperationResult::Done ? OperationResult::NotFound : confirmed);
@@ -262,9 +263,9 @@
     });
 }
 
-void LedgerService::retirement(const VmName &vm, OperationCallback done)
+void LedgerService::queryRetirement(const VmName &vm, OperationCallback done)
 {
-    confirm([this, vm, done = std::move(done)](OperationResult confirmed) {
+    confirmLeadership([this, vm, done = std::move(done)](OperationResult confirmed) {
         const auto found = state_.vms().find(vm);
         if (confirmed != OperationResult::Done || found == state_.vms().end()) {
             done(confirmed == OperationResult::Done ? OperationResult::NotFound : confirmed);
@@ -286,7 +287,7 @@
         MemberCandidate &candidate = result[record.peer];
         candidate.isRetiring = record.isRetiring;
         if (const auto requester = joinRequesters_.find(record.peer); requester != joinRequesters_.end()) {
-            candidate.isLive = std::chrono::steady_clock::now() - requester->second.at < joinRequestMaxAge;
+            candidate.isLive = std::chrono::steady_clock::now() - requester->second.requestedAt < joinRequestMaxAge;
             candidate.failureDomain = requester->second.failureDomain;
         }
     }
@@ -296,8 +297,8 @@
             MemberCandidate &candidate = result[peer];
             candidate.isLeader = peer == self_;
             candidate.isLive = candidate.isLeader || driver_.silenceOf(peer) < memberLossTimeout;
-            // Snapshots hold no turn texts. A learner counts as caught up only with its texts, or the next loss could
-            // be permanent.
+            // Snapshots hold no turn texts. A learner counts as caught up only once it has fetched them, or the loss of
+            // another member could lose the texts for good.
             const auto requester = joinRequesters_.find(peer);
             const bool hasTexts
                 = requester != joinRequesters_.end() && requester->second.completeUpTo >= node.log().snapshot().index;
@@ -310,10 +311,10 @@
 void LedgerService::planMembers()
 {
     const TimePoint now = std::chrono::steady_clock::now();
-    if (!leads() || now < nextPlan_ || now - leadingSince_ < membershipGracePeriod) {
+    if (!leads() || now < nextPlanAt_ || now - leadingSince_ < membershipGracePeriod) {
         return;
     }
-    nextPlan_ = now + planInterval;
+    nextPlanAt_ = now + planInterval;
     const Membership &current = driver_.node().membership();
     const std::optional<Membership> next = planMembership(current, candidates(), desiredVoters());
     if (!next) {
--- a/src/gateway/cp_ledger_search.cpp
+++ b/src/gateway/cp_ledger_search.cpp
@@ -35,10 +35,10 @@
 
 } // namespace
 
-std::set<VmName> LedgerClient::knownMembers() const
+std::set<VmName> LedgerClient::knownLedgerVms() const
 {
     std::set<VmName> all(seeds_.begin(), seeds_.end());
-    all.insert(members_.begin(), members_.end());
+    all.insert(ledgerVms_.begin(), ledgerVms_.end());
     return all;
 }
 
@@ -77,7 +77,7 @@
 
 std::vector<VmName> LedgerClient::nextSearchTargets()
 {
-    const std::set<VmName> all = knownMembers();
+    const std::set<VmName> all = knownLedgerVms();
     std::vector<VmName> others;
     std::vector<VmName> targets;
     for (const VmName &peer : all) {
@@ -87,9 +87,9 @@
     // Voters are queried in each round and the others in rotation, which bounds the load from many searching entries.
     const std::size_t count = std::min(nonVotersPerSearch, others.size());
     for (std::size_t i = 0; i < count; ++i) {
-        targets.push_back(others[(searches_ * nonVotersPerSearch + i) % others.size()]);
+        targets.push_back(others[(searchRounds_ * nonVotersPerSearch + i) % others.size()]);
     }
-    ++searches_;
+    ++searchRounds_;
     return targets;
 }
 
@@ -101,15 +101,15 @@
         dropLeader(peer, reply ? reason : reply.error().message);
         return;
     }
-    if (isSuspected_) {
+    if (isCheckingLeader_) {
         return;
     }
     // Checking first keeps entries from searching when the leader is only overloaded, which would add to its load.
-    isSuspected_ = true;
+    isCheckingLeader_ = true;
     UpdateRequest request;
     request.wantsContent = false;
     client->request(request, leaderCheckTimeout, [this, peer](Result<FrameBody> answer, bool) {
-        isSuspected_ = false;
+        isCheckingLeader_ = false;
         const UpdateReply *update = answer ? std::get_if<UpdateReply>(&answer.value()) : nullptr;
         if (update != nullptr && update->isLeader && update->term >= leaderTerm_) {
             slowLeaders_.add();
@@ -122,13 +122,13 @@
 void LedgerClient::logSearch()
 {
     const TimePoint now = timeNow();
-    if (now - searchingSince_ < minLoggedSearch || now - lastSearchLog_ < searchLogInterval) {
+    if (now - searchingSince_ < minLoggedSearch || now - lastSearchLogAt_ < searchLogInterval) {
         return;
     }
-    lastSearchLog_ = now;
+    lastSearchLogAt_ = now;
     parts_.log.warn(
         "ledger.searching",
-        {{"for_ms", toMs(now - searchingSince_)}, {"known", fmt::format("{}", fmt::join(knownMembers(), ","))}});
+        {{"for_ms", toMs(now - searchingSince_)}, {"known", fmt::format("{}", fmt::join(knownLedgerVms(), ","))}});
 }
 
 void LedgerClient::queryLeader(const VmName &peer)
@@ -157,9 +157,9 @@
         }
         // The seeds may have been replaced since, and the leader may be an unknown VM: the reply's members are queried
         // next.
-        members_.insert(members_.end(), update->members.begin(), update->members.end());
+        ledgerVms_.insert(ledgerVms_.end(), update->members.begin(), update->members.end());
         if (!update->leader.empty()) {
-            members_.push_back(update->leader);
+            ledgerVms_.push_back(update->leader);
         }
     });
 }
--- a/src/gateway/cp_ledger_service.cpp
+++ b/src/gateway/cp_ledger_service.cpp
@@ -28,7 +28,7 @@
     : parts_(parts)
     , self_(parts.settings.peer.toString())
     , texts_({parts.io, parts.disk, parts.peers, parts.log, parts.metrics,
-              [this]() -> TurnTexts & { return state_.texts(); }, [this] { return otherMembers(); }})
+              [this]() -> TurnTexts & { return state_.texts(); }, [this] { return otherVoters(); }})
     , driver_({parts.io, parts.disk, parts.peers, parts.log, parts.metrics}, *this)
     , joinTimer_(parts.io)
     , presenceTimer_(parts.io)
@@ -41,8 +41,8 @@
     , takeovers_(parts.metrics.counter("cardamompost_ledger_takeovers_total"))
     , exhaustedTurns_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "spent"}}))
     , unknownTurns_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "no-such-turn"}}))
-    , limited_(parts.metrics.counter("cardamompost_requests_limited_total"))
-    , overloaded_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "overloaded"}}))
+    , limitedRequests_(parts.metrics.counter("cardamompost_requests_limited_total"))
+    , overloadedTurns_(parts.metrics.counter("cardamompost_turns_refused_total", {{"reason", "overloaded"}}))
 {
 }
 
@@ -68,7 +68,7 @@
     texts_.open(store);
     discovery_.open(store);
     parts_.disk.start();
-    // The term fences off all earlier leaders.
+    // The term is a fencing token: members reject messages of leaders with a lower term.
     parts_.metrics.gauge("cardamompost_ledger_term", {},
                          [this] { return driver_.isStarted() ? static_cast<double>(driver_.node().term()) : 0.0; });
     // Until its data is complete again, a VM that lost its disk counts as one of the tolerated losses.
@@ -146,7 +146,7 @@
         placement_.recordLastEngine(finish->program, finish->backend, std::chrono::steady_clock::now());
     }
     const std::uint64_t before = state_.documentVersion();
-    lastApplied_ = state_.apply(command.value(), entry.index);
+    lastApplyStatus_ = state_.apply(command.value(), entry.index);
     if (state_.documentVersion() != before) {
         parts_.log.info(
             "document.in_force",
@@ -173,7 +173,7 @@
     }
     if (version <= state_.documentVersion()) {
         // The document stays as it is, but only a confirmed leader may report that.
-        confirm(std::move(done));
+        confirmLeadership(std::move(done));
         return;
     }
     propose(RouteDocumentPut {version, std::move(bytes)}, [done = std::move(done)](bool isCommitted) {
@@ -181,7 +181,7 @@
     });
 }
 
-void LedgerService::confirm(OperationCallback done)
+void LedgerService::confirmLeadership(OperationCallback done)
 {
     if (!leads()) {
         done(OperationResult::NotLeader);
--- a/src/gateway/cp_ledger_service.hpp
+++ b/src/gateway/cp_ledger_service.hpp
@@ -40,9 +40,11 @@
     enum class OperationResult {
         Done,
         NotLeader,
+        //! Leadership was not confirmed, or it is not known whether the command was committed.
         Unknown,
         NotFound,
         NotEnoughVms,
+        //! The retirement has not finished yet.
         Running,
     };
     using OperationCallback = std::function<void(OperationResult)>;
@@ -73,12 +75,14 @@
     //! Sets a newly read list of backend servers; on the leader only.
     void setBackends(std::vector<BackendServer> servers);
 
-    //! Puts a validated document in force, unless the same or a higher version already is.
+    //! Replaces the route document by a validated one, unless the current version is equal or higher.
     void putDocument(std::uint64_t version, std::string bytes, OperationCallback done);
     //! Confirms that this member is the leader and has applied all committed entries.
-    void confirm(OperationCallback done);
+    void confirmLeadership(OperationCallback done);
+    //! Marks a VM as retiring, if enough other live VMs would remain.
     void retire(const VmName &vm, OperationCallback done);
-    void retirement(const VmName &vm, OperationCallback done);
+    //! Reports Done once a retiring VM has left the group and the group has the desired number of voters.
+    void queryRetirement(const VmName &vm, OperationCallback done);
 
     [[nodiscard]] const PresenceTable &presence() const
     {
@@ -92,7 +96,8 @@
     {
         return driver_.isEstablishedLeader();
     }
-    //! Empty while no leader is known. Outside the group, the leader that was last reported to this VM.
+    //! The leader that this member of the group knows, or else the one last reported to this VM; empty if there is
+    //! neither.
     [[nodiscard]] VmName leader() const
     {
         return driver_.leader().empty() && discovery_.leader() != self_ ? discovery_.leader() : driver_.leader();
@@ -143,7 +148,7 @@
     void joinPeriodically();
     void requestJoin();
     void onJoinReply(const VmName &target, const JoinReply &reply);
-    //! The reply to VMs that look for the group.
+    //! Leader and members as known to this VM, for VMs that look for the group.
     [[nodiscard]] GroupView groupView() const;
     //! Sends a leader notice to the VMs that sent no join request recently; on the leader only.
     void notifySilentPeers();
@@ -151,9 +156,11 @@
     void logSearch(const VmName &target, const std::vector<VmName> &peers);
     //! Proposes a command with the ledger's time.
     void propose(LedgerCommand::Action action, ConsensusDriver::CommitCallback done);
+    //! Logs and counts a rejected begin, and replies.
+    //! \param isConfirmed  a quorum has confirmed the state that the rejection is based on
     void refuse(const TurnBegin &begin, TurnBeginStatus status, bool isConfirmed, const Replier &replier);
     void confirmNoSuchTurn(const TurnBegin &begin, const Replier &replier);
-    //! Charges a turn to its account's limit, and continues with it at once or after a delay.
+    //! Charges a turn to its account's limit; then rejects it, or continues with it at once or after a delay.
     void applyAccountLimit(const std::shared_ptr<ActiveBegin> &active);
     void recordLimited(const std::string &account, const std::string &id, const RequestLimiter::Decision &decision);
     //! Calls back with true once this leader holds the lease and the account's earlier usage is replicated.
@@ -166,8 +173,8 @@
     void runAfter(Milliseconds delay, std::function<void()> work);
     //! Reads the texts of the turns that a begin continues.
     void readHistory(const std::shared_ptr<ActiveBegin> &active);
-    //! Whether the turn's program has run a turn before, or is running one.
-    [[nodiscard]] bool isInProgress(const TurnBegin &begin) const;
+    //! The turn continues another one, or its program has spent or reserved tokens.
+    [[nodiscard]] bool isProgramInProgress(const TurnBegin &begin) const;
     void startBegin(const std::shared_ptr<ActiveBegin> &active);
     void requestPlacement(const std::shared_ptr<ActiveBegin> &active);
     void onPlaced(ActiveBegin &active, const std::string &backend);
@@ -184,15 +191,16 @@
     [[nodiscard]] bool hasNewList(const UpdateRequest &request) const;
     //! There is a newer document or list than the requester holds.
     [[nodiscard]] bool hasNewContent(const UpdateRequest &request) const;
-    //! Splits the document in force into buckets for delta updates, and applies its limits.
+    //! Splits the current document into buckets for delta updates, and applies its limits.
     void publishDocument();
-    //! Replies to pending update requests: with deltas, without content at their deadline, or that another VM leads.
+    //! Replies to pending update requests: with deltas, or without content at their deadline or if this VM doesn't
+    //! lead.
     void serveUpdates();
     //! \returns the bytes of the deltas sent
     std::size_t replyUpdate(const UpdateRequest &request, const Replier &replier, bool withContent);
     //! Replies to watch requests once this VM leads or their deadline has passed.
-    //! \param all  replies to all of them now
-    void replyToWatchers(bool all);
+    //! \param isStopping  replies to all of them now
+    void replyToWatchers(bool isStopping);
     void planMembers();
     [[nodiscard]] MemberCandidates candidates() const;
     [[nodiscard]] std::size_t desiredVoters() const
@@ -204,7 +212,7 @@
     //! Announces to all ledger VMs, at intervals, that this one is reachable.
     void announcePeriodically();
     //! The other voters, the leader last.
-    [[nodiscard]] std::vector<VmName> otherMembers() const;
+    [[nodiscard]] std::vector<VmName> otherVoters() const;
 
     Parts parts_;
     VmName self_;
@@ -220,14 +228,15 @@
     std::size_t nextJoinTarget_ = 0;
     //! Empty while a leader is known.
     std::optional<TimePoint> searchingSince_;
-    TimePoint lastSearchLog_ {};
+    TimePoint lastSearchLogAt_ {};
+    //! Sum of the reservations that are proposed but not applied yet, by program.
     std::unordered_map<std::string, std::int64_t> pendingTokens_;
     //! Begins without a final reply, by turn.
     std::unordered_map<std::string, std::shared_ptr<ActiveBegin>> activeBegins_;
     //! Proposed begins with the time of their proposal, oldest first; decided ones are removed by commitDelay().
-    std::deque<std::pair<TimePoint, std::shared_ptr<ActiveBegin>>> proposed_;
+    std::deque<std::pair<TimePoint, std::shared_ptr<ActiveBegin>>> proposedBegins_;
     //! Repliers to requests whose TurnFinish is proposed, by turn.
-    std::unordered_map<std::string, Replier> finishes_;
+    std::unordered_map<std::string, Replier> finishRepliers_;
     TurnPlacement placement_;
     RequestLimiter limiter_;
     PendingUpdates pendingUpdates_;
@@ -236,12 +245,13 @@
     Counter &takeovers_;
     Counter &exhaustedTurns_;
     Counter &unknownTurns_;
-    Counter &limited_;
-    Counter &overloaded_;
-    TurnBeginStatus lastApplied_ = TurnBeginStatus::Granted;
+    Counter &limitedRequests_;
+    Counter &overloadedTurns_;
+    //! Outcome of the last applied command.
+    TurnBeginStatus lastApplyStatus_ = TurnBeginStatus::Granted;
     //! What a ledger VM, member or not, reported with its last join request.
     struct JoinRequester {
-        TimePoint at {};
+        TimePoint requestedAt {};
         LogIndex completeUpTo = 0;
         std::string failureDomain;
     };
@@ -259,7 +269,7 @@
     BackendBuckets listBuckets_;
     PresenceTable presence_;
     TimePoint listReadAt_ {};
-    TimePoint nextPlan_ {};
+    TimePoint nextPlanAt_ {};
     bool wasLeader_ = false;
     TimePoint leadingSince_ {};
     VmName loggedLeader_;
--- a/src/gateway/cp_ledger_updates.cpp
+++ b/src/gateway/cp_ledger_updates.cpp
@@ -8,7 +8,8 @@
 
 // Bounds each delta of a reply, so that both arrive within the request's timeout on a slow link.
 constexpr std::size_t maxUpdateBytes = 128U << 10U;
-// Lets an entry know that the leader is alive when its update can't be sent within the bandwidth limit.
+// How long a request with an update waits for bandwidth at least. Then it is answered without content, which shows the
+// entry that the leader is alive.
 constexpr Milliseconds minUpdateWait {300};
 
 std::size_t byteSize(const std::optional<ContentDelta> &delta)
@@ -120,7 +121,7 @@
         reply.members.push_back(record.peer);
     }
     if (reply.members.empty()) {
-        // A VM outside the group has no table and falls back to the peers that it remembers.
+        // A VM outside the group has no replicated list of VMs and falls back to the peers that it remembers.
         reply.members = groupView().members;
     }
     if (reply.isLeader) {
@@ -143,12 +144,12 @@
     return bytes;
 }
 
-void LedgerService::replyToWatchers(bool all)
+void LedgerService::replyToWatchers(bool isStopping)
 {
     const TimePoint now = std::chrono::steady_clock::now();
     const bool isLeader = leads();
     for (Watcher &watcher : std::exchange(watchers_, {})) {
-        if (all || isLeader || now >= watcher.deadline) {
+        if (isStopping || isLeader || now >= watcher.deadline) {
             replyUpdate(watcher.request, watcher.replier, false);
         } else {
             watchers_.push_back(std::move(watcher));
