--- a/fuzzing/soak.cpp
+++ b/fuzzing/soak.cpp
@@ -32,7 +32,7 @@
 void runRaft(std::uint64_t seed, Totals &totals)
 {
     RaftFaultSimulation simulation(seed, seed % 2 == 0 ? 3 : 5);
-    simulation.wipes = seed % 3 == 0;
+    simulation.wipesDisks = seed % 3 == 0;
     const FaultSimulationResult result = simulation.run(raftSteps);
     totals.acknowledged += result.acknowledged;
     totals.wipes += result.wipes;
@@ -42,7 +42,7 @@
 void runJournal(std::uint64_t seed, Totals &totals)
 {
     JournalFaultSimulation simulation(seed);
-    simulation.wipes = seed % 2 == 0;
+    simulation.wipesDisks = seed % 2 == 0;
     const cardamompost::TimePoint start = simulation.cluster().network.now;
     simulation.run(journalSteps);
     totals.acknowledged += simulation.cluster().acknowledged.size();
--- a/include/cardamompost/consensus/cp_compaction_policy.hpp
+++ b/include/cardamompost/consensus/cp_compaction_policy.hpp
@@ -27,8 +27,9 @@
     static constexpr std::size_t staggerBytes = 512U << 10U;
     static constexpr unsigned staggerSlots = 8;
 
-    //! Guards against sending snapshots to a learner over and over: under load, the entries that follow a snapshot
-    //! would be compacted before the learner has received it.
+    //! True when the log has reached its size limit. The limit is higher while a learner catches up: under load, the
+    //! entries that follow a snapshot would otherwise be compacted before the learner has received it, and each
+    //! snapshot would have to be followed by another one.
     [[nodiscard]] bool isDue() const
     {
         const std::size_t bytes = std::max(minLogBytes, snapshotBytes);
--- a/include/cardamompost/consensus/cp_log_entry.hpp
+++ b/include/cardamompost/consensus/cp_log_entry.hpp
@@ -12,7 +12,7 @@
     Command = 0,
     //! A new set of voters and learners.
     Membership = 1,
-    //! Empty entry of a new leader or owner; committing it commits all earlier entries.
+    //! Empty entry of a new leader or journal owner; committing it commits all earlier entries.
     Barrier = 2,
 };
 
--- a/include/cardamompost/consensus/cp_raft_message.hpp
+++ b/include/cardamompost/consensus/cp_raft_message.hpp
@@ -9,7 +9,6 @@
 namespace cardamompost
 {
 
-//! Types of messages between the members of a consensus group.
 enum class RaftMessageType : std::uint8_t {
     PreVote,
     PreVoteReply,
@@ -36,17 +35,20 @@
     VmName from;
     VmName to;
     Term term = 0;
-    //! Vote: last entry of the candidate. Append: entry before the first one sent. Replies: highest matching entry.
+    //! PreVote and Vote: last entry of the candidate. Append: entry before the first one sent. AppendReply: last
+    //! entry that matches the leader's log, or the entry to compare next if not granted. SnapshotReply: last entry that
+    //! matches the leader's log if granted.
     LogIndex index = 0;
     Term indexTerm = 0;
     LogIndex commit = 0;
+    //! Replies: the vote is granted, the entries match, or no more of the snapshot is needed.
     bool granted = false;
     //! The sender has lost its disk and may lack entries that it acknowledged before.
     bool isUninitialized = false;
     //! Number of the leader's read confirmation round, echoed by replies.
     std::uint64_t round = 0;
     std::vector<LogEntry> entries;
-    //! SnapshotChunk: state holds the bytes from offset on. SnapshotReply: offset is the next one expected.
+    //! SnapshotChunk: state holds the bytes from offset on. SnapshotReply: offset of the next expected chunk.
     RaftSnapshot snapshot;
     std::uint64_t offset = 0;
     bool isLastChunk = false;
--- a/include/cardamompost/consensus/cp_raft_node.hpp
+++ b/include/cardamompost/consensus/cp_raft_node.hpp
@@ -26,7 +26,7 @@
     Milliseconds heartbeatInterval {100};
     std::size_t maxAppendBytes = 1U << 20U;
     std::size_t snapshotChunkBytes = 256U << 10U;
-    //! Unacknowledged Append messages per member.
+    //! Maximum number of unacknowledged Append messages with entries per member.
     std::size_t maxInFlight = 32;
     std::uint64_t seed = 0;
 };
@@ -105,7 +105,8 @@
     //! Requests a linearizable read. Errors: NotLeader; NotReady until an entry of the current term is committed.
     Result<void> requestRead(std::uint64_t id);
 
-    //! Asks a voter to start an election at once; ignored unless it has the whole log.
+    //! Asks a voter to start an election at once; ignored unless this member is the leader and the voter has the whole
+    //! log.
     void transferLeadership(const VmName &to);
 
     //! Replaces the entries up to an applied index with a snapshot of the state at that index.
@@ -131,7 +132,7 @@
     }
     [[nodiscard]] LogIndex commitIndex() const
     {
-        return commit_;
+        return commitIndex_;
     }
     [[nodiscard]] const RaftLog &log() const
     {
@@ -159,7 +160,8 @@
         LogIndex match = 0;
         LogIndex next = 1;
         bool isProbing = true;
-        bool probeSent = false;
+        //! Set by a probe until its reply or the next heartbeat; no other probe is sent meanwhile.
+        bool isProbePending = false;
         std::size_t inFlight = 0;
         TimePoint lastContact {};
         std::uint64_t ackedRound = 0;
@@ -214,18 +216,22 @@
     RaftHardState lastReadyHard_;
     RaftRole role_ = RaftRole::Follower;
     VmName leader_;
-    LogIndex commit_ = 0;
-    LogIndex delivered_ = 0;
+    LogIndex commitIndex_ = 0;
+    //! Last entry returned in RaftReady::committed or covered by a snapshot.
+    LogIndex deliveredIndex_ = 0;
+    //! First entry not yet returned in RaftReady::entries.
     LogIndex unstableFrom_ = 0;
+    //! Last entry that is synced locally.
     LogIndex stableIndex_ = 0;
-    LogIndex pendingMembership_ = 0;
+    //! On a leader: its last membership entry or, before the first one, its barrier entry.
+    LogIndex pendingMembershipIndex_ = 0;
     TimePoint now_ {};
     TimePoint electionDeadline_ {};
-    TimePoint leaderContact_ {};
+    TimePoint lastLeaderContact_ {};
     //! The leader whose contacts leaderDetector_ has observed.
     VmName observedLeader_;
     FailureDetector leaderDetector_;
-    TimePoint nextHeartbeat_ {};
+    TimePoint nextHeartbeatAt_ {};
     std::set<VmName> votes_;
     std::map<VmName, Progress> progress_;
     std::uint64_t round_ = 0;
@@ -234,7 +240,7 @@
     std::vector<RaftReadyRead> readyReads_;
     std::vector<std::uint64_t> failedReads_;
     std::optional<RaftSnapshot> receivedSnapshot_;
-    RaftSnapshot incoming_;
+    RaftSnapshot incomingSnapshot_;
 };
 
 } // namespace cardamompost
--- a/include/cardamompost/journal/cp_journal_keeper.hpp
+++ b/include/cardamompost/journal/cp_journal_keeper.hpp
@@ -32,7 +32,8 @@
 
     SealReply seal(const SealRequest &request, LogBatch &batch);
     JournalAppendReply append(const JournalAppend &request, LogBatch &batch);
-    //! False if the owner is deposed; the batch is unchanged then.
+    //! Deletes the given entries, except the last one of this replica.
+    //! \returns false if the owner is deposed; the batch is unchanged then
     bool forget(const JournalForget &request, LogBatch &batch);
     //! True from the loss of the disk until this replica has caught up.
     [[nodiscard]] bool isUninitialized(PartitionId partition) const;
--- a/include/cardamompost/journal/cp_journal_writer.hpp
+++ b/include/cardamompost/journal/cp_journal_writer.hpp
@@ -31,7 +31,8 @@
     VmName self;
     std::vector<VmName> keepers;
     std::size_t maxAppendBytes = 1U << 20U;
-    //! Above this size, committed entries are dropped even if keepers lag; they are read back from another keeper.
+    //! Size limit of the entries kept in memory. Above it, committed entries are dropped even if a keeper lags; that
+    //! keeper is then sent the entries that another one has stored.
     std::size_t windowBytes = 4U << 20U;
     Milliseconds requestTimeout {1000};
     Milliseconds retryInterval {50};
@@ -49,7 +50,7 @@
 //! The only writer of one partition's journal during one epoch: a state machine without I/O or clock.
 //!
 //! Sealing a quorum fences every earlier owner: none of them can get a quorum for an append, even while it still
-//! believes in its lease. The sealed replica with the highest (term, index) holds all committed entries (the leader
+//! considers its lease valid. The sealed replica with the highest (term, index) holds all committed entries (the leader
 //! completeness property of Raft) and is read before anything is appended.
 //! Each keeper has at most one request in flight; entries appended meanwhile share the next one (group commit).
 //! Not thread-safe; guarded by the partition's lock.
@@ -88,29 +89,33 @@
     {
         return options_.epoch;
     }
-    //! Entries of earlier epochs, in order. A new generation restarts at the first entry and replaces earlier ones.
+    //! Entries of earlier epochs, in order, that were read since the last takeRecovered(). A new generation restarts at
+    //! the first entry; the entries of earlier generations are to be discarded.
     struct Recovered {
         std::uint64_t generation = 0;
         std::vector<LogEntry> entries;
     };
     [[nodiscard]] Recovered takeRecovered();
     //! Number of keepers that match up to the commit index.
-    [[nodiscard]] std::size_t upToDateKeepers() const;
+    [[nodiscard]] std::size_t upToDateKeeperCount() const;
     //! Match index of a keeper; 0 if unknown.
     [[nodiscard]] LogIndex matchIndexOf(const VmName &keeper) const;
 
 private:
     struct Keeper {
-        std::optional<SealReply> sealed;
+        //! Empty while the keeper has to be sealed.
+        std::optional<SealReply> sealReply;
         bool isMatchKnown = false;
         LogIndex matchIndex = 0;
         LogIndex nextIndex = 0;
+        //! Request in flight; 0 if there is none.
         std::uint64_t pendingId = 0;
         TimePoint sentAt {};
         TimePoint retryAt {};
+        //! Consecutive failed requests, up to the limit of the backoff.
         int failures = 0;
         //! The lagging keeper that the pending read is for; empty for a read of the recovery.
-        VmName readForKeeper;
+        VmName readForLaggingKeeper;
         //! Last index of that read.
         LogIndex readTo = 0;
         bool isReadPending = false;
@@ -155,6 +160,7 @@
     LogIndex lastIndex_ = 0;
     LogIndex commitIndex_ = 0;
     LogIndex barrierIndex_ = 0;
+    //! Recovery: the keeper that entries are read from, its last entry, and the first index that is not read yet.
     VmName readSource_;
     Position sourceEnd_;
     LogIndex readFrom_ = 1;
--- a/src/cardamompost/consensus/cp_raft_election.cpp
+++ b/src/cardamompost/consensus/cp_raft_election.cpp
@@ -13,7 +13,7 @@
 
 void RaftNode::recordLeaderContact(const VmName &leader)
 {
-    leaderContact_ = now_;
+    lastLeaderContact_ = now_;
     if (observedLeader_ != leader) {
         observedLeader_ = leader;
         leaderDetector_.restart(now_);
@@ -28,7 +28,7 @@
     if (role_ == RaftRole::Leader) {
         return true;
     }
-    return !leader_.empty() && now_ - leaderContact_ < leaderDetector_.suspicionTimeout();
+    return !leader_.empty() && now_ - lastLeaderContact_ < leaderDetector_.suspicionTimeout();
 }
 
 void RaftNode::becomeFollower(Term term, const VmName &leader)
@@ -84,8 +84,8 @@
     progress_.clear();
     refreshProgress();
     appendEntry(EntryKind::Barrier, {});
-    pendingMembership_ = log_.lastIndex();
-    nextHeartbeat_ = now_ + options_.heartbeatInterval;
+    pendingMembershipIndex_ = log_.lastIndex();
+    nextHeartbeatAt_ = now_ + options_.heartbeatInterval;
     broadcastAppend(false);
 }
 
--- a/src/cardamompost/consensus/cp_raft_log.cpp
+++ b/src/cardamompost/consensus/cp_raft_log.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// Approximate size of an entry in a message besides its payload.
+// Approximate size of an entry in a message in addition to its payload.
 constexpr std::size_t entryOverheadBytes = 64;
 
 } // namespace
--- a/src/cardamompost/consensus/cp_raft_node.cpp
+++ b/src/cardamompost/consensus/cp_raft_node.cpp
@@ -12,8 +12,8 @@
     , log_(std::move(stored.snapshot), std::move(stored.entries), initial)
     , hard_(std::move(stored.hard))
     , lastReadyHard_(hard_)
-    , commit_(log_.snapshot().index)
-    , delivered_(commit_)
+    , commitIndex_(log_.snapshot().index)
+    , deliveredIndex_(commitIndex_)
     , unstableFrom_(log_.lastIndex() + 1)
     , stableIndex_(log_.lastIndex())
     , now_(now)
@@ -33,8 +33,8 @@
     now_ = std::max(now_, now);
     if (role_ == RaftRole::Leader) {
         checkQuorumContact();
-        if (role_ == RaftRole::Leader && now_ >= nextHeartbeat_) {
-            nextHeartbeat_ = now_ + options_.heartbeatInterval;
+        if (role_ == RaftRole::Leader && now_ >= nextHeartbeatAt_) {
+            nextHeartbeatAt_ = now_ + options_.heartbeatInterval;
             broadcastAppend(true);
         }
         return;
@@ -62,8 +62,9 @@
     // Two concurrent changes, or a change of two voters, could lead to disjoint quorums that commit different entries
     // at one index. A new leader waits for its barrier, since its log may hold an uncommitted change of its
     // predecessor.
-    if (pendingMembership_ > commit_ || !isEstablishedLeader()) {
-        return makeError(ErrorKind::NotReady, "another membership change is not committed yet");
+    if (pendingMembershipIndex_ > commitIndex_ || !isEstablishedLeader()) {
+        return makeError(ErrorKind::NotReady,
+                         "an earlier membership change or the first entry of the new leader is not committed yet");
     }
     if (next.voters.empty() || !next.isSingleStepFrom(membership())) {
         return makeError(ErrorKind::InvalidRequest, "a membership change may add or remove one voter at most");
@@ -72,12 +73,12 @@
     // another VM could then destroy.
     for (const VmName &voter : next.voters) {
         const bool isNew = !membership().voters.contains(voter);
-        if (isNew && matchIndexOf(voter) < commit_) {
+        if (isNew && matchIndexOf(voter) < commitIndex_) {
             return makeError(ErrorKind::NotReady, "'" + voter + "' is not a learner that has caught up");
         }
     }
     appendEntry(EntryKind::Membership, next.encode());
-    pendingMembership_ = log_.lastIndex();
+    pendingMembershipIndex_ = log_.lastIndex();
     refreshProgress();
     broadcastAppend(false);
     return log_.lastIndex();
@@ -93,7 +94,7 @@
     if (!isEstablishedLeader()) {
         return makeError(ErrorKind::NotReady, "the new leader has not committed its first entry yet");
     }
-    pendingReads_.push_back({id, ++round_, commit_});
+    pendingReads_.push_back({id, ++round_, commitIndex_});
     broadcastAppend(true);
     advanceReads();
     return boost::outcome_v2::success();
@@ -108,14 +109,14 @@
 
 void RaftNode::compact(LogIndex index, std::string state)
 {
-    checkInvariant(index <= delivered_, "only applied entries are compacted");
+    checkInvariant(index <= deliveredIndex_, "only applied entries are compacted");
     log_.compact(index, std::move(state));
 }
 
 bool RaftNode::hasReady() const
 {
     return hard_ != lastReadyHard_ || receivedSnapshot_ || unstableFrom_ <= log_.lastIndex() || !outbox_.empty()
-        || delivered_ < std::min(commit_, stableIndex_) || !readyReads_.empty() || !failedReads_.empty();
+        || deliveredIndex_ < std::min(commitIndex_, stableIndex_) || !readyReads_.empty() || !failedReads_.empty();
 }
 
 RaftReady RaftNode::takeReady()
@@ -132,8 +133,8 @@
     unstableFrom_ = log_.lastIndex() + 1;
     ready.messages = std::exchange(outbox_, {});
     // Entries are applied only once they are synced locally, so that the log never lags behind the state at a restart.
-    for (; delivered_ < std::min(commit_, stableIndex_); ++delivered_) {
-        ready.committed.push_back(log_.at(delivered_ + 1));
+    for (; deliveredIndex_ < std::min(commitIndex_, stableIndex_); ++deliveredIndex_) {
+        ready.committed.push_back(log_.at(deliveredIndex_ + 1));
     }
     ready.reads = std::exchange(readyReads_, {});
     ready.failedReads = std::exchange(failedReads_, {});
@@ -163,7 +164,7 @@
 
 bool RaftNode::isEstablishedLeader() const
 {
-    return role_ == RaftRole::Leader && log_.termAt(commit_) == hard_.term;
+    return role_ == RaftRole::Leader && log_.termAt(commitIndex_) == hard_.term;
 }
 
 bool RaftNode::hasLease(TimePoint now) const
@@ -245,11 +246,11 @@
     const LogIndex candidate = matches[membership().quorum() - 1];
     // Only entries of the current term are committed by counting replicas; earlier ones are committed with them.
     // Otherwise a later leader could overwrite an entry that a quorum holds (Ongaro, figure 3.7).
-    if (candidate <= commit_ || log_.termAt(candidate) != hard_.term) {
+    if (candidate <= commitIndex_ || log_.termAt(candidate) != hard_.term) {
         return;
     }
-    commit_ = candidate;
-    if (pendingMembership_ <= commit_ && !isVoter(options_.self)) {
+    commitIndex_ = candidate;
+    if (pendingMembershipIndex_ <= commitIndex_ && !isVoter(options_.self)) {
         becomeFollower(hard_.term, {});
         return;
     }
--- a/src/cardamompost/consensus/cp_raft_replication.cpp
+++ b/src/cardamompost/consensus/cp_raft_replication.cpp
@@ -78,26 +78,26 @@
         sendSnapshotChunk(to, progress);
         return;
     }
-    const bool isBlocked = progress.isProbing ? progress.probeSent : progress.inFlight >= options_.maxInFlight;
+    const bool isBlocked = progress.isProbing ? progress.isProbePending : progress.inFlight >= options_.maxInFlight;
     if (isBlocked && !isHeartbeat) {
         return;
     }
     RaftMessage message = makeMessage(RaftMessageType::Append, to);
     message.index = progress.next - 1;
     message.indexTerm = *previousTerm;
-    message.commit = commit_;
+    message.commit = commitIndex_;
     message.round = round_;
     // Probes carry no entries: a member that resumes after a pause rejects every queued heartbeat, and each rejection
     // would cause the same entries to be sent again.
     if (!isBlocked && !progress.isProbing) {
         message.entries = log_.slice(progress.next, options_.maxAppendBytes);
     }
-    if (message.entries.empty() && !isHeartbeat && !progress.isProbing && progress.match >= commit_) {
+    if (message.entries.empty() && !isHeartbeat && !progress.isProbing && progress.match >= commitIndex_) {
         return;
     }
     if (progress.isProbing) {
         // A probe is repeated with every heartbeat, since the previous one or its reply may be lost.
-        progress.probeSent = !isHeartbeat;
+        progress.isProbePending = !isHeartbeat;
     } else {
         progress.next += message.entries.size();
         progress.inFlight += message.entries.empty() ? 0 : 1;
@@ -154,14 +154,14 @@
             continue;
         }
         if (entry.index <= log_.lastIndex()) {
-            checkInvariant(entry.index > commit_, "a committed entry is never overwritten");
+            checkInvariant(entry.index > commitIndex_, "a committed entry is never overwritten");
             log_.truncateFrom(entry.index);
             stableIndex_ = std::min(stableIndex_, entry.index - 1);
             unstableFrom_ = std::min(unstableFrom_, entry.index);
         }
         log_.append(std::move(entry));
     }
-    commit_ = std::max(commit_, std::min(message.commit, reply.index));
+    commitIndex_ = std::max(commitIndex_, std::min(message.commit, reply.index));
     initializeIfCaughtUp(message);
     reply.granted = true;
     outbox_.push_back(std::move(reply));
@@ -171,7 +171,7 @@
 {
     // The commit index of an established leader covers all committed entries, including those that this member lost.
     const bool isEstablished = message.commit > 0 && log_.termAt(message.commit) == message.term;
-    if (isUninitialized() && isEstablished && commit_ >= message.commit) {
+    if (isUninitialized() && isEstablished && commitIndex_ >= message.commit) {
         hard_.votedFor = message.from;
     }
 }
@@ -191,7 +191,7 @@
         sendAppend(message.from, false);
         return;
     }
-    progress.probeSent = false;
+    progress.isProbePending = false;
     progress.inFlight -= std::min<std::size_t>(progress.inFlight, 1);
     if (message.index > progress.match) {
         progress.match = message.index;
@@ -207,10 +207,10 @@
 void RaftNode::onRejectedAppend(Progress &progress, const RaftMessage &message)
 {
     progress.isProbing = true;
-    progress.probeSent = false;
+    progress.isProbePending = false;
     progress.inFlight = 0;
     if (message.isUninitialized) {
-        // Entries that it acknowledged before it lost its disk do not count as replicated.
+        // Entries that the member acknowledged before it lost its disk do not count as replicated.
         progress.match = std::min(progress.match, message.index);
     }
     progress.next = std::max(progress.match + 1, std::min(message.index + 1, log_.lastIndex() + 1));
@@ -225,29 +225,29 @@
     RaftMessage reply = makeMessage(RaftMessageType::SnapshotReply, message.from);
     reply.round = message.round;
     reply.snapshot.index = message.snapshot.index;
-    if (message.snapshot.index <= commit_) {
+    if (message.snapshot.index <= commitIndex_) {
         reply.granted = true;
-        reply.index = commit_;
+        reply.index = commitIndex_;
         outbox_.push_back(std::move(reply));
         return;
     }
-    if (incoming_.index != message.snapshot.index) {
-        incoming_ = {message.snapshot.index, message.snapshot.term, message.snapshot.membership, {}};
+    if (incomingSnapshot_.index != message.snapshot.index) {
+        incomingSnapshot_ = {message.snapshot.index, message.snapshot.term, message.snapshot.membership, {}};
     }
     // A lost or duplicate chunk has an unexpected offset; the reply requests the expected one.
-    if (message.offset == incoming_.state.size()) {
-        incoming_.state += message.snapshot.state;
+    if (message.offset == incomingSnapshot_.state.size()) {
+        incomingSnapshot_.state += message.snapshot.state;
         reply.granted = message.isLastChunk;
     }
-    reply.offset = incoming_.state.size();
+    reply.offset = incomingSnapshot_.state.size();
     reply.index = message.snapshot.index;
     if (reply.granted) {
-        log_.restore(incoming_);
-        receivedSnapshot_ = std::exchange(incoming_, {});
-        commit_ = log_.snapshot().index;
-        delivered_ = commit_;
-        stableIndex_ = commit_;
-        unstableFrom_ = commit_ + 1;
+        log_.restore(incomingSnapshot_);
+        receivedSnapshot_ = std::exchange(incomingSnapshot_, {});
+        commitIndex_ = log_.snapshot().index;
+        deliveredIndex_ = commitIndex_;
+        stableIndex_ = commitIndex_;
+        unstableFrom_ = commitIndex_ + 1;
     }
     outbox_.push_back(std::move(reply));
 }
@@ -267,7 +267,7 @@
         progress.next = std::max(progress.next, message.index + 1);
         progress.snapshotIndex = 0;
         progress.isProbing = true;
-        progress.probeSent = false;
+        progress.isProbePending = false;
         sendAppend(message.from, false);
         return;
     }
--- a/src/cardamompost/journal/cp_journal_keeper.cpp
+++ b/src/cardamompost/journal/cp_journal_keeper.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Size of an entry in a reply in addition to its payload.
+// Approximate size of an entry in a reply in addition to its payload.
 constexpr std::size_t entryOverheadBytes = 64;
 
 // Pseudo-group that marks a replaced disk; the term of its hard state is one of the two below.
--- a/src/cardamompost/journal/cp_journal_writer.cpp
+++ b/src/cardamompost/journal/cp_journal_writer.cpp
@@ -10,6 +10,7 @@
 namespace
 {
 
+// Approximate size of an entry in a request in addition to its payload.
 constexpr std::size_t entryOverheadBytes = 64;
 constexpr int maxBackoffDoublings = 6;
 
@@ -73,7 +74,7 @@
     return taken;
 }
 
-std::size_t JournalWriter::upToDateKeepers() const
+std::size_t JournalWriter::upToDateKeeperCount() const
 {
     const auto isUpToDate
         = [this](const auto &item) { return item.second.isMatchKnown && item.second.matchIndex >= commitIndex_; };
@@ -119,7 +120,7 @@
 void JournalWriter::prepareSeals(TimePoint now)
 {
     for (auto &[name, keeper] : keepers_) {
-        if (!keeper.sealed && canSend(keeper, now)) {
+        if (!keeper.sealReply && canSend(keeper, now)) {
             send(name, keeper, SealRequest {options_.partition, options_.epoch, options_.self});
         }
     }
@@ -185,7 +186,7 @@
             continue;
         }
         keeper.isReadPending = true;
-        keeper.readForKeeper = lagging;
+        keeper.readForLaggingKeeper = lagging;
         keeper.readTo = beforeWindow_.index;
         const auto maxBytes = static_cast<std::uint32_t>(options_.maxAppendBytes);
         send(name, keeper,
@@ -232,15 +233,15 @@
         return;
     }
     keeper.isReadPending = false;
-    keeper.readForKeeper.clear();
+    keeper.readForLaggingKeeper.clear();
     onReadSourceLost(name, keeper);
 }
 
 void JournalWriter::onReadSourceLost(const VmName &name, Keeper &keeper)
 {
     if (phase_ == JournalPhase::Recovering && name == readSource_) {
-        // Seals again and restarts the read at the best replica among those that reply.
-        keeper.sealed.reset();
+        // Seals this keeper again and restarts the recovery once a quorum is sealed, from the most complete replica.
+        keeper.sealReply.reset();
         keeper.retryAt = now_ + options_.retryInterval;
         phase_ = JournalPhase::Sealing;
         startRecovery();
@@ -285,7 +286,7 @@
         depose(reply.promised);
         return;
     }
-    keeper.sealed = reply;
+    keeper.sealReply = reply;
     if (phase_ == JournalPhase::Sealing) {
         startRecovery();
     }
@@ -293,20 +294,20 @@
 
 void JournalWriter::startRecovery()
 {
-    std::size_t sealed = 0;
+    std::size_t sealedCount = 0;
     Position best;
     for (const auto &[name, keeper] : keepers_) {
-        if (!keeper.sealed) {
+        if (!keeper.sealReply) {
             continue;
         }
-        const Position end {keeper.sealed->lastIndex, keeper.sealed->lastTerm};
-        if (sealed == 0 || std::pair(end.term, end.index) > std::pair(best.term, best.index)) {
+        const Position end {keeper.sealReply->lastIndex, keeper.sealReply->lastTerm};
+        if (sealedCount == 0 || std::pair(end.term, end.index) > std::pair(best.term, best.index)) {
             best = end;
             readSource_ = name;
         }
-        ++sealed;
+        ++sealedCount;
     }
-    if (sealed < quorum()) {
+    if (sealedCount < quorum()) {
         return;
     }
     phase_ = JournalPhase::Recovering;
@@ -321,7 +322,7 @@
 void JournalWriter::onRead(const VmName &name, Keeper &keeper, const JournalReadReply &reply)
 {
     keeper.isReadPending = false;
-    const VmName readForKeeper = std::exchange(keeper.readForKeeper, {});
+    const VmName readForLaggingKeeper = std::exchange(keeper.readForLaggingKeeper, {});
     if (!reply.accepted && reply.promised > options_.epoch) {
         depose(reply.promised);
         return;
@@ -332,8 +333,8 @@
         onReadSourceLost(name, keeper);
         return;
     }
-    if (!readForKeeper.empty()) {
-        onCatchUpRead(readForKeeper, keeper.readTo, reply);
+    if (!readForLaggingKeeper.empty()) {
+        onCatchUpRead(readForLaggingKeeper, keeper.readTo, reply);
         return;
     }
     if (phase_ != JournalPhase::Recovering || name != readSource_) {
--- a/tests/consensus/cp_compaction_policy.tests.cpp
+++ b/tests/consensus/cp_compaction_policy.tests.cpp
@@ -21,7 +21,7 @@
     //! \returns snapshots sent until the learner has caught up; 0 if it has not within a minute
     int countSnapshots(bool hasLaggingLearner) const
     {
-        constexpr int minute = 60'000;
+        constexpr int minuteMs = 60'000;
         double logEnd = initialLogBytes;
         double compactedUpTo = 0;
         double receivedUpTo = 0;
@@ -29,7 +29,7 @@
         int snapshotCount = 1;
         // The first snapshot is empty: the log still holds all entries.
         double snapshotEnd = compactedUpTo;
-        for (int ms = 0; ms < minute; ++ms) {
+        for (int ms = 0; ms < minuteMs; ++ms) {
             logEnd += appendedPerSecond / 1000;
             const CompactionPolicy policy {static_cast<std::size_t>(logEnd - compactedUpTo),
                                            static_cast<std::size_t>(snapshotBytes), hasLaggingLearner, 0};
--- a/tests/consensus/cp_raft_fault_simulation.tests.cpp
+++ b/tests/consensus/cp_raft_fault_simulation.tests.cpp
@@ -45,7 +45,7 @@
         BOOST_TEST_CONTEXT("seed " << seed)
         {
             RaftFaultSimulation simulation(seed, 3);
-            simulation.wipes = true;
+            simulation.wipesDisks = true;
             FaultSimulationResult result;
             BOOST_REQUIRE_NO_THROW(result = simulation.run(steps));
             wipes += result.wipes;
@@ -56,14 +56,14 @@
     BOOST_TEST(acknowledged > 1000U);
 }
 
-// Verifies the checker: committed commands are lost if a member votes after it has lost its disk.
-BOOST_AUTO_TEST_CASE(the_checker_notices_votes_of_members_without_their_disk)
+// Verifies the checks of the simulation: committed commands are lost if a member votes after it has lost its disk.
+BOOST_AUTO_TEST_CASE(the_simulation_detects_votes_of_members_without_their_disk)
 {
     const ThrowingInvariants guard;
     bool isDetected = false;
     for (std::uint64_t seed = 1; seed <= 20 * seedsInCi && !isDetected; ++seed) {
         RaftFaultSimulation simulation(seed, 3);
-        simulation.wipes = true;
+        simulation.wipesDisks = true;
         simulation.votesAfterDiskLoss = true;
         try {
             simulation.run(steps);
@@ -74,9 +74,9 @@
     BOOST_TEST(isDetected);
 }
 
-// Verifies the checker: a deposed leader confirms stale reads if a member that has voted for its successor and then
-// lost its disk follows it again.
-BOOST_AUTO_TEST_CASE(the_checker_notices_members_without_their_disk_that_follow_a_deposed_leader)
+// Verifies the checks of the simulation: a deposed leader confirms stale reads if a member that has voted for its
+// successor and then lost its disk follows it again.
+BOOST_AUTO_TEST_CASE(the_simulation_detects_members_without_their_disk_that_follow_a_deposed_leader)
 {
     // Few seeds produce the required schedule, and which ones do depends on the exact sequence of messages.
     constexpr std::uint64_t firstSeed = 8001;
@@ -84,7 +84,7 @@
     bool isDetected = false;
     for (std::uint64_t seed = firstSeed; seed < firstSeed + 100 * seedsInCi && !isDetected; ++seed) {
         RaftFaultSimulation simulation(seed, 3);
-        simulation.wipes = true;
+        simulation.wipesDisks = true;
         simulation.forgetsTermAfterDiskLoss = true;
         try {
             simulation.run(steps);
@@ -95,8 +95,8 @@
     BOOST_TEST(isDetected);
 }
 
-// Verifies the checker: acknowledged entries are lost if a disk reports success without syncing.
-BOOST_AUTO_TEST_CASE(the_checker_notices_disks_that_do_not_sync)
+// Verifies the checks of the simulation: acknowledged entries are lost if a disk reports success without syncing.
+BOOST_AUTO_TEST_CASE(the_simulation_detects_disks_that_do_not_sync)
 {
     const ThrowingInvariants guard;
     bool isDetected = false;
--- a/tests/consensus/cp_raft_node.tests.cpp
+++ b/tests/consensus/cp_raft_node.tests.cpp
@@ -76,7 +76,7 @@
 }
 
 // Guards against a partitioned leader that keeps its role, or later commits an entry that was never acknowledged.
-BOOST_AUTO_TEST_CASE(a_leader_behind_a_silent_partition_steps_down_and_its_uncommitted_entry_is_dropped)
+BOOST_AUTO_TEST_CASE(a_partitioned_leader_steps_down_and_its_uncommitted_entry_is_dropped)
 {
     const ThrowingInvariants guard;
     RaftCluster cluster(threeVms, 2);
@@ -96,7 +96,7 @@
 }
 
 // Guards against an outage whenever a member returns from a partition: without pre-vote, it would have a higher term.
-BOOST_AUTO_TEST_CASE(a_member_that_returns_does_not_depose_the_leader)
+BOOST_AUTO_TEST_CASE(a_member_that_returns_from_a_partition_does_not_depose_the_leader)
 {
     const ThrowingInvariants guard;
     RaftCluster cluster(threeVms, 3);
@@ -183,18 +183,18 @@
     RaftCluster cluster(threeVms, 7);
     RaftCluster::Member *leader = cluster.waitForLeader();
     BOOST_REQUIRE(leader != nullptr);
-    const VmName isolated = leader->name == "vm-1" ? "vm-2" : "vm-1";
-    cluster.crash(isolated);
+    const VmName crashed = leader->name == "vm-1" ? "vm-2" : "vm-1";
+    cluster.crash(crashed);
     for (int i = 0; i < 300; ++i) {
         cluster.propose(*leader, "change-" + std::to_string(i));
         cluster.run(Milliseconds(25));
     }
     BOOST_TEST(leader->node->log().snapshot().index > 0U);
     cluster.network.lossShare = 0.1;
-    cluster.network.doubleShare = 0.1;
-    cluster.restart(isolated);
+    cluster.network.duplicateShare = 0.1;
+    cluster.restart(crashed);
     cluster.run(Milliseconds(30'000));
-    BOOST_TEST(cluster.members.at(isolated)->applied.size() == 300U);
+    BOOST_TEST(cluster.members.at(crashed)->applied.size() == 300U);
 }
 
 BOOST_AUTO_TEST_CASE(leadership_moves_to_a_member_that_is_asked_to_take_over)
@@ -232,7 +232,7 @@
 }
 
 // Guards against unbounded memory use of a leader that answers each rejected heartbeat with the same entries.
-BOOST_AUTO_TEST_CASE(a_member_that_has_to_be_probed_is_sent_no_entries_until_its_end_is_known)
+BOOST_AUTO_TEST_CASE(a_member_is_sent_no_entries_until_a_probe_has_found_its_last_matching_entry)
 {
     RaftOptions options;
     options.self = "vm-1";
@@ -286,21 +286,21 @@
     rejection.isUninitialized = true;
     node.step(now, rejection);
     std::size_t chunks = 0;
-    const auto countPieces = [&] {
+    const auto countChunks = [&] {
         for (const RaftMessage &message : node.takeReady().messages) {
             chunks += message.type == RaftMessageType::SnapshotChunk ? 1 : 0;
         }
     };
-    countPieces();
+    countChunks();
     for (int i = 0; i < 50; ++i) {
         BOOST_REQUIRE(node.propose("y").has_value());
-        countPieces();
+        countChunks();
     }
     BOOST_TEST(chunks == 1U);
     // A lost chunk is sent again.
     now += Milliseconds(250);
     node.tick(now);
-    countPieces();
+    countChunks();
     BOOST_TEST(chunks == 2U);
 }
 
--- a/tests/journal/cp_journal.tests.cpp
+++ b/tests/journal/cp_journal.tests.cpp
@@ -15,7 +15,7 @@
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         JournalFaultSimulation simulation(seed);
-        simulation.wipes = defects.sealsAfterDiskLoss;
+        simulation.wipesDisks = defects.sealsAfterDiskLoss;
         simulation.cluster().defects = defects;
         for (auto &[name, vm] : simulation.cluster().keepers) {
             vm.files.ignoreSyncs = ignoreSyncs;
@@ -49,8 +49,8 @@
     BOOST_TEST(second.recovered.size() == 51U);
 }
 
-// An owner that was paused past its lease resumes after a takeover and appends an intent. If that were committed, it
-// would send a call whose outcome the new owner has already reported as unknown.
+// An owner that was paused past its lease resumes after a takeover and appends an intent. If that were committed, the
+// old owner would send a call whose outcome the new owner has already reported as unknown.
 BOOST_AUTO_TEST_CASE(a_deposed_owner_commits_no_entry)
 {
     const ThrowingInvariants guard;
@@ -97,7 +97,7 @@
     BOOST_TEST(cluster.acknowledged.size() == 60U);
     cluster.wipe("keeper-1");
     cluster.run(Milliseconds(5000));
-    BOOST_TEST(owner.writer->upToDateKeepers() == 3U);
+    BOOST_TEST(owner.writer->upToDateKeeperCount() == 3U);
     cluster.wipe("keeper-2");
     JournalCluster::Owner &next = cluster.addOwner();
     BOOST_REQUIRE(cluster.waitUntilOpen(next));
@@ -154,9 +154,9 @@
     const JournalRead request {0, 1, 1, 2, 1000};
     BOOST_TEST(!keeper.read(request).value().accepted);
     cluster.run(Milliseconds(5000));
-    const JournalReadReply filled = keeper.read(request).value();
-    BOOST_TEST(filled.accepted);
-    BOOST_TEST(filled.entries.size() == 2U);
+    const JournalReadReply reply = keeper.read(request).value();
+    BOOST_TEST(reply.accepted);
+    BOOST_TEST(reply.entries.size() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(the_space_of_forgotten_entries_is_reclaimed)
@@ -187,7 +187,7 @@
         BOOST_TEST_CONTEXT("seed " << seed)
         {
             JournalFaultSimulation simulation(seed);
-            simulation.wipes = seed % 2 == 0;
+            simulation.wipesDisks = seed % 2 == 0;
             BOOST_REQUIRE_NO_THROW(simulation.run(steps));
             acknowledged += simulation.cluster().acknowledged.size();
             takeovers += simulation.cluster().openCount;
@@ -234,8 +234,8 @@
         const LogIndex before = old.writer->commitIndex();
         cluster.append(old, "intent");
         cluster.run(Milliseconds(2000));
-        const bool isConfirmed = old.writer->commitIndex() > before;
-        BOOST_TEST(isConfirmed == forgetsPromisesAfterDiskLoss);
+        const bool isCommitted = old.writer->commitIndex() > before;
+        BOOST_TEST(isCommitted == forgetsPromisesAfterDiskLoss);
     }
 }
 
--- a/tests/support/cp_fake_network.hpp
+++ b/tests/support/cp_fake_network.hpp
@@ -26,7 +26,7 @@
         if (cuts.contains({from, to}) || chance(lossShare)) {
             return;
         }
-        const int copies = chance(doubleShare) ? 2 : 1;
+        const int copies = chance(duplicateShare) ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
             const Milliseconds delay(1 + static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(maxDelayMs)));
             queue_.emplace(now + delay, deliver);
@@ -60,7 +60,7 @@
     //! Pairs of sender and receiver whose messages are dropped.
     std::set<std::pair<VmName, VmName>> cuts;
     double lossShare = 0.02;
-    double doubleShare = 0.02;
+    double duplicateShare = 0.02;
     std::int64_t maxDelayMs = 20;
 
 private:
--- a/tests/support/cp_fault_injecting_files.hpp
+++ b/tests/support/cp_fault_injecting_files.hpp
@@ -65,12 +65,12 @@
             if (faults_->failWrites) {
                 return makeError(ErrorKind::StorageFailed, "no space left on the disk");
             }
-            unsynced_ += bytes.size();
+            unsyncedBytes_ += bytes.size();
             return file_->append(bytes);
         }
         Result<void> sync() override
         {
-            faults_->largestSyncBytes = std::max(faults_->largestSyncBytes.load(), std::exchange(unsynced_, 0));
+            faults_->largestSyncBytes = std::max(faults_->largestSyncBytes.load(), std::exchange(unsyncedBytes_, 0));
             std::this_thread::sleep_for(std::chrono::milliseconds(faults_->syncDelayMs.load()));
             return file_->sync();
         }
@@ -90,7 +90,7 @@
     private:
         std::unique_ptr<IFile> file_;
         SharedFaults faults_;
-        std::size_t unsynced_ = 0;
+        std::size_t unsyncedBytes_ = 0;
     };
 
     std::unique_ptr<IFiles> files_;
--- a/tests/support/cp_journal_cluster.hpp
+++ b/tests/support/cp_journal_cluster.hpp
@@ -19,7 +19,7 @@
     bool forgetsPromisesAfterDiskLoss = false;
 };
 
-//! Keepers and successive owners of one partition on a simulated network; owners get no notice of a takeover.
+//! Keepers and successive owners of one partition on a simulated network; owners are not told of a takeover.
 class JournalCluster
 {
 public:
@@ -34,7 +34,7 @@
         std::uint64_t generation = 0;
         //! Entries written in this epoch, by index.
         std::map<LogIndex, std::string> written;
-        LogIndex acknowledged = 0;
+        LogIndex acknowledgedIndex = 0;
         bool hasOpened = false;
     };
 
@@ -193,8 +193,8 @@
         if (phase != JournalPhase::Open) {
             return;
         }
-        for (; owner.acknowledged < owner.writer->commitIndex(); ++owner.acknowledged) {
-            const auto written = owner.written.find(owner.acknowledged + 1);
+        for (; owner.acknowledgedIndex < owner.writer->commitIndex(); ++owner.acknowledgedIndex) {
+            const auto written = owner.written.find(owner.acknowledgedIndex + 1);
             if (written != owner.written.end()) {
                 const auto [place, isNew] = acknowledged.emplace(written->first, written->second);
                 acknowledgedBy.emplace(written->first, owner.writer->epoch());
@@ -217,8 +217,8 @@
             found[entry.index] = entry.payload;
         }
         for (const auto &[index, payload] : acknowledged) {
-            // The seal replies may reach an owner after a later one has opened. It lacks the entries of that epoch,
-            // and can commit none of its own.
+            // The seal replies may reach an owner after a later owner has opened the journal. The earlier owner then
+            // lacks the entries of the later epoch, but can commit none of its own.
             if (acknowledgedBy.at(index) > owner.writer->epoch()) {
                 continue;
             }
@@ -275,6 +275,7 @@
         return reply;
     }
 
+    //! Injects acceptsSealedEpochs: raises the epoch of an append to the promised one, so that the keeper accepts it.
     JournalAppend raiseSealedEpoch(const KeeperVm &vm, JournalAppend append) const
     {
         const RaftHardState &hard = vm.store->group(journalGroup(0)).hard;
--- a/tests/support/cp_journal_fault_simulation.hpp
+++ b/tests/support/cp_journal_fault_simulation.hpp
@@ -33,7 +33,7 @@
     }
 
     //! Keepers also lose their disks, one at a time.
-    bool wipes = false;
+    bool wipesDisks = false;
 
 private:
     VmName randomKeeper()
@@ -61,7 +61,7 @@
                                 : network.cuts.insert({newestOwnerName(), keeper});
         } else if (network.chance(0.08)) {
             network.cuts.clear();
-        } else if (wipes && network.chance(0.02)) {
+        } else if (wipesDisks && network.chance(0.02)) {
             wipeDiskIfCaughtUp();
         }
         for (const VmName &name : cluster_.names) {
@@ -71,7 +71,8 @@
         }
     }
 
-    //! Only after the last wiped keeper has caught up: three replicas tolerate the loss of one disk at a time.
+    //! Wipes the disk of a keeper once the last wiped one has caught up: three replicas tolerate the loss of one disk
+    //! at a time.
     void wipeDiskIfCaughtUp()
     {
         const JournalWriter &writer = *cluster_.owners.rbegin()->second->writer;
@@ -118,4 +119,4 @@
 
 } // namespace cardamompost::tests
 
-#endif // CARDAMOMPOST_TESTS_CP_JOURNAL_STORM_HPP_INCLUDED
+#endif // CARDAMOMPOST_TESTS_CP_JOURNAL_FAULT_SIMULATION_HPP_INCLUDED
--- a/tests/support/cp_memory_files.hpp
+++ b/tests/support/cp_memory_files.hpp
@@ -15,7 +15,7 @@
 public:
     struct Content {
         std::string bytes;
-        std::size_t synced = 0;
+        std::size_t syncedBytes = 0;
     };
 
     class File : public IFile
@@ -41,7 +41,7 @@
                 return makeError(ErrorKind::StorageFailed, "input/output error");
             }
             if (!files_.ignoreSyncs) {
-                content_->synced = content_->bytes.size();
+                content_->syncedBytes = content_->bytes.size();
             }
             ++files_.syncs;
             return boost::outcome_v2::success();
@@ -56,7 +56,7 @@
         Result<void> truncate(std::uint64_t size) override
         {
             content_->bytes.resize(size);
-            content_->synced = std::min<std::size_t>(content_->synced, size);
+            content_->syncedBytes = std::min<std::size_t>(content_->syncedBytes, size);
             return sync();
         }
         [[nodiscard]] std::uint64_t size() const override
@@ -99,13 +99,13 @@
     void crash(std::mt19937_64 &random)
     {
         for (auto &[name, content] : contents) {
-            const std::size_t unsynced = content->bytes.size() - content->synced;
+            const std::size_t unsynced = content->bytes.size() - content->syncedBytes;
             const std::size_t kept = unsynced == 0 ? 0 : random() % (unsynced + 1);
-            content->bytes.resize(content->synced + kept);
+            content->bytes.resize(content->syncedBytes + kept);
             if (kept > 0 && random() % 2 == 0) {
-                content->bytes[content->synced + random() % kept] ^= 0x5A;
+                content->bytes[content->syncedBytes + random() % kept] ^= 0x5A;
             }
-            content->synced = content->bytes.size();
+            content->syncedBytes = content->bytes.size();
         }
     }
 
@@ -113,7 +113,7 @@
     void losePower()
     {
         for (auto &[name, content] : contents) {
-            content->bytes.resize(content->synced);
+            content->bytes.resize(content->syncedBytes);
         }
     }
 
--- a/tests/support/cp_raft_cluster.hpp
+++ b/tests/support/cp_raft_cluster.hpp
@@ -64,7 +64,7 @@
         , startedAt(network.now)
     {
         for (const VmName &name : names) {
-            initial.voters.insert(name);
+            initialMembership.voters.insert(name);
         }
         for (const VmName &name : names) {
             addMember(name);
@@ -94,7 +94,7 @@
     {
         Result<LogStore> opened = LogStore::open(member.files, {4096, 0.5});
         if (!opened) {
-            throw Violation("the store cannot be opened: " + opened.error().message);
+            throw Violation("cannot open the store: " + opened.error().message);
         }
         member.store = std::make_unique<LogStore>(std::move(opened.value()));
         RaftStoredState stored = member.store->loadRaft(controlGroup).value();
@@ -104,7 +104,7 @@
         options.self = member.name;
         options.seed = network.random();
         options.snapshotChunkBytes = 64;
-        member.node = std::make_unique<RaftNode>(options, std::move(stored), initial, localTime(member));
+        member.node = std::make_unique<RaftNode>(options, std::move(stored), initialMembership, localTime(member));
     }
 
     void crash(const VmName &name)
@@ -162,6 +162,7 @@
         return isAccepted;
     }
 
+    //! Does the pending work of a member: stores, sends, applies and compacts.
     void drive(Member &member)
     {
         while (member.node && member.node->hasReady()) {
@@ -204,10 +205,11 @@
 
     FakeNetwork network;
     TimePoint startedAt;
-    Membership initial;
+    Membership initialMembership;
     std::map<VmName, std::unique_ptr<Member>> members;
     //! The longest sequence of commands that any member has applied.
     std::vector<std::string> longestApplied;
+    //! Number of applied entries after which a member replaces its log with a snapshot.
     LogIndex compactAfter = 40;
     std::map<Term, VmName> leaderByTerm;
 
--- a/tests/support/cp_raft_fault_simulation.hpp
+++ b/tests/support/cp_raft_fault_simulation.hpp
@@ -28,7 +28,7 @@
     }
 
     //! Members also lose their disks.
-    bool wipes = false;
+    bool wipesDisks = false;
     //! Injected defect: a member that has lost its disk votes as if it were new.
     bool votesAfterDiskLoss = false;
     //! Injected defect: a member that has lost its disk follows any leader, also a deposed one.
@@ -76,7 +76,7 @@
         if (network.chance(0.02)) {
             member.node ? cluster_.crash(member.name) : cluster_.restart(member.name);
             ++result_.crashes;
-        } else if (wipes && network.chance(0.01)) {
+        } else if (wipesDisks && network.chance(0.01)) {
             wipe(member);
         } else if (network.chance(0.03)) {
             network.cuts.insert({member.name, randomMember().name});
@@ -94,7 +94,7 @@
         }
     }
 
-    //! Highest term among as many other members as intersect every quorum.
+    //! Highest term among randomly chosen other members, as many as it takes to intersect every quorum.
     Term highestTermOfOthers(const VmName &self)
     {
         std::vector<Term> terms;
@@ -104,7 +104,7 @@
             }
         }
         std::shuffle(terms.begin(), terms.end(), network().random);
-        terms.resize(cluster_.members.size() - cluster_.initial.quorum() + 1);
+        terms.resize(cluster_.members.size() - cluster_.initialMembership.quorum() + 1);
         return *std::max_element(terms.begin(), terms.end());
     }
 
