--- a/include/cardamompost/control/cp_control_message.hpp
+++ b/include/cardamompost/control/cp_control_message.hpp
@@ -14,7 +14,7 @@
     std::uint64_t configurationVersion = 0;
     std::uint32_t programs = 0;
     //! The leader must confirm its leadership with a quorum before it replies.
-    bool isConfirmed = false;
+    bool needsConfirmedLeader = false;
 };
 
 struct LeaseReply {
--- a/src/cardamompost/control/cp_control_state.cpp
+++ b/src/cardamompost/control/cp_control_state.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Results kept to recognize retries; the oldest is dropped first.
+// Number of accepted changes kept to recognize retries; the oldest is dropped first.
 constexpr std::size_t maxRequests = 4096;
 
 } // namespace
--- a/src/cardamompost/control/cp_partition_planner.cpp
+++ b/src/cardamompost/control/cp_partition_planner.cpp
@@ -120,7 +120,7 @@
         if (partition.owner != self) {
             continue;
         }
-        // A difference of one is even; a move would only reverse it.
+        // A difference of one counts as even: a move would only reverse it.
         if (!isLeaving && counts.countOf(self) <= counts.lowestCount() + 1) {
             break;
         }
--- a/src/cardamompost/net/cp_frame_encoder.cpp
+++ b/src/cardamompost/net/cp_frame_encoder.cpp
@@ -124,7 +124,7 @@
         message.setAppliedIndex(in.appliedIndex);
         message.setConfigurationVersion(in.configurationVersion);
         message.setPrograms(in.programs);
-        message.setIsConfirmed(in.isConfirmed);
+        message.setIsConfirmed(in.needsConfirmedLeader);
     }
 
     void operator()(const LeaseReply &in)
--- a/src/daemon/cp_control_runner.cpp
+++ b/src/daemon/cp_control_runner.cpp
@@ -259,7 +259,7 @@
 {
     asio::post(strand_, [self = shared_from_this(), request = std::move(request), done = std::move(done)] {
         LeaseReply reply = self->makeLeaseReply(request);
-        if (!reply.granted || !request.isConfirmed) {
+        if (!reply.granted || !request.needsConfirmedLeader) {
             done(std::move(reply));
             return;
         }
