--- a/include/cardamompost/liveness/cp_failure_detector.hpp
+++ b/include/cardamompost/liveness/cp_failure_detector.hpp
@@ -6,7 +6,6 @@
 namespace cardamompost
 {
 
-//! Bounds of the suspicion timeout.
 struct SuspicionBounds {
     //! Smallest timeout, however frequent the contacts are.
     Milliseconds floor {0};
@@ -29,7 +28,7 @@
 
     //! Records a contact.
     void observe(TimePoint now);
-    //! Discards the observed gaps, for a different peer; the silence counts from now.
+    //! Discards the observed gaps, for use with a different peer; its first gap counts from now.
     void restart(TimePoint now);
     //! Silence after which the peer is suspected to have failed.
     [[nodiscard]] Milliseconds suspicionTimeout() const;
--- a/include/cardamompost/storage/cp_log_batch.hpp
+++ b/include/cardamompost/storage/cp_log_batch.hpp
@@ -14,10 +14,10 @@
 
 inline constexpr GroupId controlGroup = 0;
 
-//! Texts of turns, stored as unordered entries beside the log of the ledger. Reserved: no partition has this number.
+//! Texts of turns, stored as unordered entries beside the log of the ledger. Reserved: no journal has this number.
 inline constexpr GroupId textGroup = 0xffff'ffff;
 
-//! Cached membership of the ledger's group, as one snapshot. Reserved: no partition has this number.
+//! Cached membership of the ledger's group, as one snapshot. Reserved: no journal has this number.
 inline constexpr GroupId membershipCacheGroup = 0xffff'fffe;
 
 [[nodiscard]] constexpr GroupId journalGroup(PartitionId partition)
@@ -25,7 +25,6 @@
     return partition + 1;
 }
 
-//! Type of a record in a store.
 enum class RecordType : std::uint8_t {
     HardState = 1,
     //! Replaces the entries of its group from its index on.
--- a/include/cardamompost/storage/cp_log_store.hpp
+++ b/include/cardamompost/storage/cp_log_store.hpp
@@ -9,7 +9,6 @@
 namespace cardamompost
 {
 
-//! Limits of a store.
 struct LogStoreOptions {
     std::uint64_t segmentBytes = 16U << 20U;
     //! The oldest segment is cleaned when the share of live bytes in the store falls below this, 0 to 1.
--- a/src/cardamompost/liveness/cp_failure_detector.cpp
+++ b/src/cardamompost/liveness/cp_failure_detector.cpp
@@ -38,8 +38,8 @@
     if (!hasContact_) {
         return bounds_.ceiling;
     }
-    const Milliseconds usual(static_cast<std::int64_t>(longestGapMs_ * margin));
-    return std::clamp(usual, std::min(bounds_.floor, bounds_.ceiling), bounds_.ceiling);
+    const Milliseconds unclamped(static_cast<std::int64_t>(longestGapMs_ * margin));
+    return std::clamp(unclamped, std::min(bounds_.floor, bounds_.ceiling), bounds_.ceiling);
 }
 
 } // namespace cardamompost
--- a/src/cardamompost/storage/cp_log_record.hpp
+++ b/src/cardamompost/storage/cp_log_record.hpp
@@ -6,7 +6,6 @@
 namespace cardamompost
 {
 
-//! Header of a segment file.
 struct SegmentHeader {
     std::uint64_t magic = 0;
     std::uint32_t version = 0;
@@ -31,6 +30,7 @@
 static_assert(sizeof(SegmentHeader) == 16);
 static_assert(sizeof(RecordHeader) == 40);
 
+//! "MCPLOG1" in ASCII, read as a little-endian number.
 inline constexpr std::uint64_t segmentMagic = 0x31474F4C50434DULL;
 inline constexpr std::uint32_t segmentVersion = 1;
 inline constexpr std::uint32_t maxRecordBytes = 256U << 20U;
@@ -38,7 +38,6 @@
 //! Appends an encoded record to a buffer.
 void encodeRecord(const LogBatch::Record &record, std::uint64_t batch, bool endsBatch, std::string &out);
 
-//! A record decoded from a segment.
 struct DecodedRecord {
     RecordHeader header;
     LogBatch::Record record;
--- a/src/cardamompost/storage/cp_posix_files.cpp
+++ b/src/cardamompost/storage/cp_posix_files.cpp
@@ -21,7 +21,7 @@
 Error systemError(std::string_view action, std::string_view name)
 {
     const std::string reason = std::error_code(errno, std::generic_category()).message();
-    return makeError(ErrorKind::StorageFailed, fmt::format("{} '{}': {}", action, name, reason));
+    return makeError(ErrorKind::StorageFailed, fmt::format("cannot {} '{}': {}", action, name, reason));
 }
 
 class PosixFile : public IFile
@@ -79,8 +79,9 @@
                 return systemError("read", name_);
             }
             if (bytesRead == 0) {
-                return makeError(ErrorKind::StorageFailed,
-                                 fmt::format("read '{}': the file ends before {}", name_, offset + length));
+                return makeError(
+                    ErrorKind::StorageFailed,
+                    fmt::format("cannot read '{}': the file ends before offset {}", name_, offset + length));
             }
             done += static_cast<std::size_t>(bytesRead);
         }
@@ -159,7 +160,7 @@
         }
     }
     if (error) {
-        return makeError(ErrorKind::StorageFailed, fmt::format("list '{}': {}", folder_, error.message()));
+        return makeError(ErrorKind::StorageFailed, fmt::format("cannot list '{}': {}", folder_, error.message()));
     }
     return names;
 }
