--- a/tests/control/cp_control_state.tests.cpp
+++ b/tests/control/cp_control_state.tests.cpp
@@ -180,6 +180,15 @@
     BOOST_TEST(!ControlState::decode(bytes).has_value());
 }
 
+// Guards against excessive allocation: these bytes declare a million moves without content.
+BOOST_AUTO_TEST_CASE(a_command_that_declares_more_moves_than_its_size_allows_is_rejected)
+{
+    constexpr std::string_view bytes("\0\0\0\0\4\0\0\0\0\0\0\0\1\0\2\0\xc5\0\0\2\0\0\0\0\1\0\0\0\0\0\x80\0"
+                                     "\0\0\xfa\xff\3\3\3\x41\x2e\x29\0\0\x2d\1\x80\x3b\xfd\1",
+                                     50);
+    BOOST_TEST(!decodeCommand(bytes).has_value());
+}
+
 // Guards against the traversal limit of Cap'n Proto, which could reject a valid snapshot of the maximum size.
 BOOST_AUTO_TEST_CASE(a_snapshot_with_the_maximum_number_of_partitions_can_be_decoded)
 {
