--- a/include/cardamompost/policy/cp_call_scheduler.hpp
+++ b/include/cardamompost/policy/cp_call_scheduler.hpp
@@ -29,6 +29,7 @@
     std::string workClass;
     Milliseconds waited {0};
     bool isWarm = false;
+    //! Placed ahead of its rank as the oldest waiting call.
     bool isOldest = false;
 };
 
@@ -67,7 +68,7 @@
 
     //! Places as many waiting calls as replicas have free slots for.
     [[nodiscard]] std::vector<PlacementDecision> place(TimePoint now);
-    //! Returns calls past their deadline, and calls shed since the last time.
+    //! Removes and returns the calls past their deadline, and returns those shed since the previous takeDropped().
     [[nodiscard]] std::vector<DroppedCall> takeDropped(TimePoint now);
 
     [[nodiscard]] std::size_t waiting() const
@@ -87,7 +88,7 @@
                                 std::vector<PlacementDecision> &decisions);
     bool placeOldest(TimePoint now, std::vector<PlacementDecision> &decisions);
     [[nodiscard]] bool hasAnyFreeSlot() const;
-    //! The waiting call to shed for another one; the end if that one ranks behind all waiting calls.
+    //! The waiting call to shed to make room for `call`; end() if `call` itself would be shed before all of them.
     [[nodiscard]] std::vector<WaitingCall>::iterator findShedCandidate(const WaitingCall &call);
     [[nodiscard]] Error overloadError(const std::string &text) const;
 
@@ -100,7 +101,7 @@
     EngineSpeed speed_;
     std::mt19937_64 random_;
     int placementsSinceOldest_ = 0;
-    double meanServiceMs_ = 1000.0;
+    double assumedServiceMs_ = 1000.0;
 };
 
 } // namespace cardamompost
--- a/include/cardamompost/policy/cp_replica_health.hpp
+++ b/include/cardamompost/policy/cp_replica_health.hpp
@@ -27,6 +27,7 @@
 
 private:
     struct State {
+        //! Consecutive failures since the last success or ejection.
         int failures = 0;
         int ejections = 0;
         TimePoint ejectedUntil {};
--- a/include/cardamompost/policy/cp_turn_placement.hpp
+++ b/include/cardamompost/policy/cp_turn_placement.hpp
@@ -15,7 +15,7 @@
 namespace cardamompost
 {
 
-//! Requests an engine slot for a turn.
+//! A turn's request for an engine slot.
 struct SlotRequest {
     //! Request id; a repeated request with the same id gets the same slot.
     std::string turn;
@@ -44,14 +44,16 @@
 class TurnPlacement
 {
 public:
-    //! Called once with the engine's id; empty if no engine of the service is known or the turn was not placed in time.
+    //! Called at most once, with the engine's id. The id is empty if no engine can be chosen, or if the turn was still
+    //! waiting at clear(). Not called for a turn that is released while it waits.
     using PlacementCallback = std::function<void(const std::string &engine)>;
 
     explicit TurnPlacement(std::uint64_t seed);
 
     //! Replaces the engines; draining engines receive no new turns.
     void setServers(const std::vector<BackendServer> &servers, TimePoint now);
-    //! Requests a slot. The callback runs immediately, or later from release(), setServers(), tick() or clear().
+    //! Requests a slot. The callback runs immediately, or during a later call to request(), release(), setServers(),
+    //! tick() or clear(). A repeated request replaces the callback of a turn that waits.
     void request(SlotRequest request, TimePoint now, PlacementCallback callback);
     //! Releases the turn's slot or removes it from the queue.
     void release(const std::string &turn, TimePoint now);
@@ -109,7 +111,7 @@
 
     [[nodiscard]] std::optional<std::string> choose(const SlotRequest &request, TimePoint now, bool mayOverload);
     [[nodiscard]] static double cost(const Engine &engine, const SlotRequest &request);
-    //! Null if the program has no usable affinity.
+    //! The engine of the program's last turn; null if it is unknown, unusable, or far more loaded than another one.
     [[nodiscard]] const std::string *affinityEngine(const SlotRequest &request, TimePoint now) const;
     void setAffinity(const std::string &program, const std::string &engine, TimePoint now);
     void removeAffinity(const Affinity &affinity);
--- a/include/cardamompost/policy/cp_turn_priority.hpp
+++ b/include/cardamompost/policy/cp_turn_priority.hpp
@@ -8,7 +8,7 @@
 namespace cardamompost
 {
 
-//! Inputs of the order in which engines admit turns.
+//! Inputs of turnPriority().
 struct TurnUrgency {
     //! The rank of the turn's route; 0 goes first.
     unsigned rank = 0;
--- a/src/cardamompost/policy/cp_call_scheduler.cpp
+++ b/src/cardamompost/policy/cp_call_scheduler.cpp
@@ -190,7 +190,7 @@
         slots += replica.isClosed ? 0 : replica.slots;
     }
     const double rounds = static_cast<double>(waiting_.size() + 1) / std::max(1, slots);
-    return Milliseconds(static_cast<std::int64_t>(rounds * meanServiceMs_));
+    return Milliseconds(static_cast<std::int64_t>(rounds * assumedServiceMs_));
 }
 
 } // namespace cardamompost
--- a/src/cardamompost/policy/cp_replica_health.cpp
+++ b/src/cardamompost/policy/cp_replica_health.cpp
@@ -44,14 +44,13 @@
     if (found == states_.end() || now >= found->second.ejectedUntil) {
         return false;
     }
-    // Earlier ejections take precedence when more than the allowed share would be ejected.
-    const auto wasEjectedEarlier = [&](const auto &item) {
+    // Ejections that end earlier take precedence when more than the allowed share would be ejected.
+    const auto endsEarlier = [&](const auto &item) {
         return now < item.second.ejectedUntil
             && std::pair(item.second.ejectedUntil, item.first) < std::pair(found->second.ejectedUntil, replica);
     };
-    const auto ejectedEarlier
-        = static_cast<std::size_t>(std::count_if(states_.begin(), states_.end(), wasEjectedEarlier));
-    return ejectedEarlier < replicaCount / 2;
+    const auto endingEarlier = static_cast<std::size_t>(std::count_if(states_.begin(), states_.end(), endsEarlier));
+    return endingEarlier < replicaCount / 2;
 }
 
 double ReplicaHealth::usableSlotShare(const std::string &replica, TimePoint now) const
--- a/src/cardamompost/policy/cp_turn_placement.cpp
+++ b/src/cardamompost/policy/cp_turn_placement.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-// A program leaves the engine with its cached prompt for one that has loadThreshold turns by this multiple of the
-// slots. Moving means computing the whole prompt again.
+// A program leaves the engine that caches its prompt only for one with fewer turns, by at least this multiple of the
+// slots: moving means computing the whole prompt again.
 constexpr double maxAffinityImbalance = 2.5;
 // Load that a program with affinity adds to an engine, in turns.
 constexpr double affinityWeight = 0.25;
@@ -22,8 +22,9 @@
 constexpr double crossDomainCost = 0.75;
 // Expected lifetime of a program's prompt in the engine's cache.
 constexpr Milliseconds affinityLifetime {8000};
-constexpr Milliseconds expiryInterval {500};
-// Afterwards a turn is sent to an engine's own queue, before its client gives up.
+constexpr Milliseconds affinityExpiryInterval {500};
+// A turn that has waited this long is placed regardless of load, to reach an engine's own queue before its client gives
+// up.
 constexpr Milliseconds maxQueueTime {1200};
 // Added to a turn's time limit before the slot of a failed entry is reclaimed.
 constexpr Milliseconds reservationMargin {500};
@@ -283,7 +284,7 @@
     if (now < nextAffinityExpiry_) {
         return;
     }
-    nextAffinityExpiry_ = now + expiryInterval;
+    nextAffinityExpiry_ = now + affinityExpiryInterval;
     for (auto item = affinities_.begin(); item != affinities_.end();) {
         if (now - item->second.lastUsed <= affinityLifetime) {
             ++item;
--- a/tests/policy/cp_call_scheduler.tests.cpp
+++ b/tests/policy/cp_call_scheduler.tests.cpp
@@ -124,10 +124,10 @@
     CallScheduler scheduler = makeScheduler("least-attained-service", "least-load", options);
     BOOST_TEST(scheduler.add(call(1, 1)).has_value());
     BOOST_TEST(scheduler.add(call(2, 1, Milliseconds(1))).has_value());
-    WaitingCall furtherOn = call(3, 1, Milliseconds(2));
-    furtherOn.attainedTokens = 5000;
-    BOOST_TEST(!scheduler.refusalFor(furtherOn).has_value());
-    BOOST_TEST(scheduler.add(furtherOn).has_value());
+    WaitingCall withMoreTokens = call(3, 1, Milliseconds(2));
+    withMoreTokens.attainedTokens = 5000;
+    BOOST_TEST(!scheduler.refusalFor(withMoreTokens).has_value());
+    BOOST_TEST(scheduler.add(withMoreTokens).has_value());
     const std::vector<DroppedCall> dropped = scheduler.takeDropped(start);
     BOOST_REQUIRE(dropped.size() == 1U);
     BOOST_TEST(dropped[0].call == 2U);
@@ -167,12 +167,12 @@
     BOOST_TEST(placed[0].replica == "cold");
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_replica_gets_no_new_work)
+BOOST_AUTO_TEST_CASE(a_closed_replica_receives_no_new_calls)
 {
     CallScheduler scheduler = makeScheduler("least-attained-service", "warm-detour");
-    ReplicaView leaving = replica("warm", 8);
-    leaving.isClosed = true;
-    scheduler.setReplicas({leaving, replica("cold", 8)});
+    ReplicaView closed = replica("warm", 8);
+    closed.isClosed = true;
+    scheduler.setReplicas({closed, replica("cold", 8)});
     WaitingCall waiting = call(1, 0);
     waiting.warmReplica = "warm";
     waiting.warmTokens = 100'000;
@@ -203,9 +203,9 @@
             health.onFailure(name, start);
         }
     }
-    const auto isOut
+    const auto isEjectedNow
         = [&](const std::string &name) { return health.isEjected(name, names.size(), start + Milliseconds(1)); };
-    BOOST_TEST(std::count_if(names.begin(), names.end(), isOut) == 2);
+    BOOST_TEST(std::count_if(names.begin(), names.end(), isEjectedNow) == 2);
 }
 
 BOOST_AUTO_TEST_CASE(a_replica_ramps_up_after_an_ejection)
--- a/tests/policy/cp_turn_placement.tests.cpp
+++ b/tests/policy/cp_turn_placement.tests.cpp
@@ -77,9 +77,9 @@
     PlacementFixture fixture({engine("a"), engine("b")});
     const std::string home = fixture.place(turn("t0", "p"));
     fixture.placement.release("t0", start);
-    // Two and a half times the slots.
-    constexpr int fewer = 10;
-    for (int i = 1; i <= fewer; ++i) {
+    // maxAffinityImbalance times the slots.
+    constexpr int turnsBeforeMove = 10;
+    for (int i = 1; i <= turnsBeforeMove; ++i) {
         BOOST_TEST(fixture.place(turn("t" + std::to_string(i), "p", true)) == home);
     }
     BOOST_TEST(fixture.place(turn("one-more", "p", true)) != home);
