--- a/tests/policy/cp_heavy_load.tests.cpp
+++ b/tests/policy/cp_heavy_load.tests.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::uint64_t seeds = 3;
+constexpr std::uint64_t seedCount = 3;
 
 //! Long high-ranked drafts and short reviews on the default fleet.
 FleetLoad mixedLoad(double programsPerSecond)
@@ -17,7 +17,7 @@
     review.name = "review";
     review.rank = 1;
     review.value = 3;
-    review.perSecond = programsPerSecond * 0.78;
+    review.arrivalsPerSecond = programsPerSecond * 0.78;
     review.turns = 4;
     review.firstTurnTokens = 654;
     review.laterTurnTokens = 654;
@@ -28,7 +28,7 @@
     draft.name = "draft";
     draft.rank = 0;
     draft.value = 10;
-    draft.perSecond = programsPerSecond * 0.22;
+    draft.arrivalsPerSecond = programsPerSecond * 0.22;
     draft.turns = 11;
     draft.firstTurnTokens = 327;
     draft.laterTurnTokens = 327;
@@ -52,15 +52,15 @@
 double earnedShareOf(const FleetLoad &load)
 {
     double possibleValue = 0;
-    double got = 0;
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    double earned = 0;
+    for (std::uint64_t seed = 1; seed <= seedCount; ++seed) {
         EngineFleet fleet(load, seed);
         for (const auto &[kind, result] : fleet.run()) {
             possibleValue += result.possibleValue;
-            got += result.earnedValue;
+            earned += result.earnedValue;
         }
     }
-    return got / possibleValue;
+    return earned / possibleValue;
 }
 
 } // namespace
@@ -76,7 +76,7 @@
 BOOST_AUTO_TEST_CASE(no_program_kind_starves_in_a_burst_that_saturates_the_engines)
 {
     const FleetLoad load = overlappingBursts();
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    for (std::uint64_t seed = 1; seed <= seedCount; ++seed) {
         EngineFleet fleet(load, seed);
         for (const auto &[kind, result] : fleet.run()) {
             BOOST_TEST(result.earnedShare() >= 0.8);
@@ -89,7 +89,7 @@
 {
     FleetLoad load = overlappingBursts();
     const double withoutChange = earnedShareOf(load);
-    load.loss = LeaderLoss {9000};
+    load.leaderLoss = LeaderLoss {9000};
     BOOST_TEST(earnedShareOf(load) >= withoutChange - 0.025);
 }
 
--- a/tests/support/cp_engine_fleet.hpp
+++ b/tests/support/cp_engine_fleet.hpp
@@ -18,7 +18,7 @@
 struct ProgramKind {
     std::string name;
     unsigned rank = 0;
-    double perSecond = 0;
+    double arrivalsPerSecond = 0;
     double value = 1;
     double lateValueShare = 0.3;
     double turns = 4;
@@ -30,6 +30,7 @@
     //! Events of a response: the first contains one token, each later one tokensPerEvent.
     double events = 2.9;
     double tokensPerEvent = 25;
+    //! Mean pause of the client between turns.
     Ms pause = 60;
     //! Probability of a fan-out to sub-agents after a turn, and the number of sub-agents.
     double fanOutChance = 0;
@@ -59,8 +60,9 @@
     std::size_t engines = 77;
     std::vector<ProgramKind> kinds;
     std::vector<LoadBurst> bursts;
-    std::optional<LeaderLoss> loss;
-    Ms length = 34'000;
+    std::optional<LeaderLoss> leaderLoss;
+    //! Programs arrive until this time.
+    Ms arrivalPeriod = 34'000;
 };
 
 //! Results for one kind of program.
@@ -106,8 +108,8 @@
             schedule(0, [this, kind] { arrive(kind); });
         }
         schedule(0, [this] { tick(); });
-        if (load_.loss) {
-            schedule(load_.loss->at, [this] { replaceLeader(); });
+        if (load_.leaderLoss) {
+            schedule(load_.leaderLoss->at, [this] { replaceLeader(); });
         }
         while (!events_.empty()) {
             const Event next = events_.top();
@@ -125,19 +127,19 @@
             ++result.programs;
             result.inTime += isInTime ? 1 : 0;
             result.late += isLate ? 1 : 0;
-            result.possibleValue += kind.value * program.size;
-            result.earnedValue += program.size
+            result.possibleValue += kind.value * program.valueFactor;
+            result.earnedValue += program.valueFactor
                 * (isInTime     ? kind.value
                        : isLate ? kind.value * kind.lateValueShare
                                 : 0);
         }
         return results;
     }
-    [[nodiscard]] double tokensRead() const
+    [[nodiscard]] double prefilledTokens() const
     {
         double sum = 0;
         for (const ModelEngine &engine : engines_) {
-            sum += engine.tokensRead();
+            sum += engine.prefilledTokens();
         }
         return sum;
     }
@@ -168,12 +170,12 @@
         Ms began = 0;
         Ms targetDuration = 0;
         Ms ended = 0;
-        double size = 1;
+        double valueFactor = 1;
         bool isDone = false;
         bool hasStarted = false;
         unsigned subAgents = 0;
-        std::size_t main = 0;
-        //! Drawn at the start of the program, so that all policies see the same load.
+        std::size_t mainConversation = 0;
+        //! For each turn, drawn at the start of the program.
         std::vector<double> inputs;
         std::vector<double> outputs;
         std::vector<Ms> pauses;
@@ -208,7 +210,7 @@
     }
     double currentRate(const ProgramKind &kind) const
     {
-        double rate = kind.perSecond;
+        double rate = kind.arrivalsPerSecond;
         for (const LoadBurst &burst : load_.bursts) {
             const bool isActive = now_ >= burst.from && now_ < burst.until;
             rate *= isActive && (burst.kind.empty() || burst.kind == kind.name) ? burst.factor : 1;
@@ -219,26 +221,27 @@
     {
         placement_->tick(timeAt(now_));
         follower_->tick(timeAt(now_));
-        if (now_ < load_.length + 20'000) {
+        if (now_ < load_.arrivalPeriod + 20'000) {
             schedule(now_ + tickInterval, [this] { tick(); });
         }
     }
     void arrive(std::size_t kindNumber)
     {
         const ProgramKind &kind = load_.kinds[kindNumber];
-        if (now_ >= load_.length) {
+        if (now_ >= load_.arrivalPeriod) {
             return;
         }
-        begin(kindNumber);
+        startProgram(kindNumber);
         const double rate = currentRate(kind);
         schedule(now_ + std::exponential_distribution<double>(rate / 1000)(random_),
                  [this, kindNumber] { arrive(kindNumber); });
     }
     [[nodiscard]] Ms idleTurnDuration(double outputTokens) const
     {
-        return load_.engine.setUp + outputTokens * (load_.engine.step + load_.engine.stepPerTurn) + 10;
+        return load_.engine.requestSetupTime + outputTokens * (load_.engine.stepTime + load_.engine.stepTimePerTurn)
+            + 10;
     }
-    void begin(std::size_t kindNumber)
+    void startProgram(std::size_t kindNumber)
     {
         const ProgramKind &kind = load_.kinds[kindNumber];
         Program program;
@@ -252,6 +255,7 @@
             program.inputs.push_back(std::min(drawLogNormal(input, 0.7), input * 5));
             program.outputs.push_back(drawOutput(kind));
             Ms pause = drawLogNormal(kind.pause, 0.6);
+            // Up to four concurrent waits, of which the slowest counts: probability and mean duration in ms.
             Ms slowest = 0;
             for (const auto &[probability, work] :
                  {std::pair(0.7, 52.0), std::pair(0.7, 52.0), std::pair(0.4, 208.0), std::pair(0.2, 139.0)}) {
@@ -270,12 +274,12 @@
                 : 0;
         }
         program.targetDuration = kind.targetDurationFactor * idleDuration + targetDurationMargin;
-        program.size = 0.3 + 0.7 * std::min(4.0, turns / kind.turns);
+        program.valueFactor = 0.3 + 0.7 * std::min(4.0, turns / kind.turns);
         const std::size_t number = programs_.size();
         programs_.push_back(std::move(program));
-        programs_[number].main = addConversation(
+        programs_[number].mainConversation = addConversation(
             {number, "p" + std::to_string(number), {}, kind.sharedPrefixTokens, kind.sharedPrefixTokens, turns, true});
-        startTurn(programs_[number].main);
+        startTurn(programs_[number].mainConversation);
     }
     double drawOutput(const ProgramKind &kind)
     {
@@ -296,30 +300,30 @@
         Conversation &conversation = conversations_[conversationNumber];
         Program &program = programs_[conversation.program];
         const ProgramKind &kind = load_.kinds[program.kind];
-        const std::size_t done = conversation.isMain ? program.inputs.size() - conversation.turnsLeft : 0;
+        const std::size_t turnsDone = conversation.isMain ? program.inputs.size() - conversation.turnsLeft : 0;
         Turn turn;
         turn.conversation = conversationNumber;
-        turn.outputTokens = conversation.isMain ? program.outputs[done] : drawOutput(kind);
-        conversation.prompt += conversation.isMain ? program.inputs[done] : kind.laterTurnTokens;
+        turn.outputTokens = conversation.isMain ? program.outputs[turnsDone] : drawOutput(kind);
+        conversation.prompt += conversation.isMain ? program.inputs[turnsDone] : kind.laterTurnTokens;
         turn.id = conversation.name + "-" + std::to_string(conversation.turnsLeft);
         const std::size_t number = turns_.size();
         turns_.push_back(turn);
-        SlotRequest unplacedTurn;
-        unplacedTurn.turn = turn.id;
-        unplacedTurn.program = programNameOf(conversationNumber);
-        unplacedTurn.service = "engines";
-        unplacedTurn.failureDomain = domainOf(conversation.program);
-        unplacedTurn.rank = kind.rank;
-        unplacedTurn.isInProgress = program.hasStarted;
-        unplacedTurn.isLate = now_ > program.began + program.targetDuration;
-        unplacedTurn.timeLeft = Milliseconds(3000);
-        unplaced_[number] = std::move(unplacedTurn);
+        SlotRequest slotRequest;
+        slotRequest.turn = turn.id;
+        slotRequest.program = programNameOf(conversationNumber);
+        slotRequest.service = "engines";
+        slotRequest.failureDomain = domainOf(conversation.program);
+        slotRequest.rank = kind.rank;
+        slotRequest.isInProgress = program.hasStarted;
+        slotRequest.isLate = now_ > program.began + program.targetDuration;
+        slotRequest.timeLeft = Milliseconds(3000);
+        unplacedTurns_[number] = std::move(slotRequest);
         place(number);
     }
     void place(std::size_t number)
     {
         if (hasLeader_) {
-            placement_->request(unplaced_.at(number), timeAt(now_),
+            placement_->request(unplacedTurns_.at(number), timeAt(now_),
                                 [this, number](const std::string &engine) { send(number, engine); });
         }
     }
@@ -330,17 +334,17 @@
         formerLeader_ = std::move(placement_);
         placement_ = std::move(follower_);
         follower_ = std::make_unique<TurnPlacement>(random_());
-        schedule(now_ + load_.loss->electionTime, [this] {
+        schedule(now_ + load_.leaderLoss->electionTime, [this] {
             hasLeader_ = true;
             std::vector<std::size_t> waiting;
-            for (const auto &[number, unplacedTurn] : unplaced_) {
+            for (const auto &[number, slotRequest] : unplacedTurns_) {
                 waiting.push_back(number);
             }
             for (const std::size_t number : waiting) {
                 place(number);
             }
         });
-        schedule(now_ + load_.loss->electionTime + load_.loss->serverListDelay,
+        schedule(now_ + load_.leaderLoss->electionTime + load_.leaderLoss->serverListDelay,
                  [this] { placement_->setServers(servers_, timeAt(now_)); });
     }
     [[nodiscard]] std::string programNameOf(std::size_t conversation) const
@@ -349,14 +353,14 @@
     }
     void send(std::size_t turnNumber, const std::string &engine)
     {
-        unplaced_.erase(turnNumber);
+        unplacedTurns_.erase(turnNumber);
         // Without an assigned engine, the entry hashes the program's name.
         const std::size_t conversation = turns_[turnNumber].conversation;
         const std::size_t number
             = engine.empty() ? stableHash(programNameOf(conversation)) % engines_.size() : std::stoul(engine);
         turns_[turnNumber].engine = std::to_string(number);
         programs_[conversations_[conversation].program].hasStarted = true;
-        schedule(now_ + networkDelay + load_.engine.setUp,
+        schedule(now_ + networkDelay + load_.engine.requestSetupTime,
                  [this, turnNumber, number] { arriveAtEngine(turnNumber, number); });
     }
     void arriveAtEngine(std::size_t turnNumber, std::size_t engine)
@@ -377,7 +381,7 @@
         const Ms time = engines_[engine].step(done);
         schedule(now_ + time, [this, engine, done] {
             for (const std::size_t turn : done) {
-                schedule(now_ + networkDelay, [this, turn] { finish(turn); });
+                schedule(now_ + networkDelay, [this, turn] { finishTurn(turn); });
             }
             isBusy_[engine] = !engines_[engine].isIdle();
             if (isBusy_[engine]) {
@@ -385,7 +389,7 @@
             }
         });
     }
-    void finish(std::size_t turnNumber)
+    void finishTurn(std::size_t turnNumber)
     {
         const Turn turn = turns_[turnNumber];
         placement_->release(turn.id, timeAt(now_));
@@ -398,7 +402,7 @@
             return;
         }
         Program &program = programs_[conversation.program];
-        const std::size_t done = program.inputs.size() - conversation.turnsLeft;
+        const std::size_t turnsDone = program.inputs.size() - conversation.turnsLeft;
         if (conversation.turnsLeft == 0) {
             program.isDone = true;
             program.ended = now_;
@@ -409,9 +413,10 @@
             return;
         }
         const std::size_t conversationNumber = turn.conversation;
-        const unsigned fanOutWidth = program.fanOutWidths[done - 1];
+        const unsigned fanOutWidth = program.fanOutWidths[turnsDone - 1];
         if (fanOutWidth == 0) {
-            schedule(now_ + program.pauses[done - 1], [this, conversationNumber] { startTurn(conversationNumber); });
+            schedule(now_ + program.pauses[turnsDone - 1],
+                     [this, conversationNumber] { startTurn(conversationNumber); });
             return;
         }
         program.subAgents = fanOutWidth;
@@ -419,7 +424,7 @@
         const double prompt = conversation.prompt;
         const std::string name = conversation.name;
         for (unsigned i = 0; i < fanOutWidth; ++i) {
-            const std::string sub = name + "." + std::to_string(done) + "." + std::to_string(i);
+            const std::string sub = name + "." + std::to_string(turnsDone) + "." + std::to_string(i);
             startTurn(addConversation({programNumber, sub, name, prompt, prompt, subAgentTurns, false}));
         }
     }
@@ -429,9 +434,9 @@
         if (--program.subAgents != 0) {
             return;
         }
-        const std::size_t main = program.main;
-        const std::size_t done = program.inputs.size() - conversations_[main].turnsLeft;
-        schedule(now_ + program.pauses[done - 1], [this, main] { startTurn(main); });
+        const std::size_t mainConversation = program.mainConversation;
+        const std::size_t turnsDone = program.inputs.size() - conversations_[mainConversation].turnsLeft;
+        schedule(now_ + program.pauses[turnsDone - 1], [this, mainConversation] { startTurn(mainConversation); });
     }
 
     FleetLoad load_;
@@ -443,7 +448,7 @@
     std::vector<BackendServer> servers_;
     bool hasLeader_ = true;
     //! Turns that wait for a leader or a slot.
-    std::map<std::size_t, SlotRequest> unplaced_;
+    std::map<std::size_t, SlotRequest> unplacedTurns_;
     std::vector<ModelEngine> engines_;
     std::vector<bool> isBusy_;
     std::priority_queue<Event> events_;
--- a/tests/support/cp_model_engine.hpp
+++ b/tests/support/cp_model_engine.hpp
@@ -16,34 +16,34 @@
 //! Parameters of an engine with continuous batching and chunked prefill.
 struct EngineModel {
     unsigned slots = 6;
-    Ms step = 2.5;
-    Ms stepPerTurn = 0.06;
-    double tokensReadPerMs = 85;
-    double chunk = 1024;
-    Ms setUp = 11;
+    Ms stepTime = 2.5;
+    Ms stepTimePerTurn = 0.06;
+    double prefillTokensPerMs = 85;
+    double chunkTokens = 1024;
+    Ms requestSetupTime = 11;
     //! Key-value memory in tokens, for running turns and cached prompts.
-    double memory = 50'000;
-    //! Slowdown factor of every third engine.
+    double memoryTokens = 50'000;
+    //! Slowdown factor of the slow engines of a fleet.
     double slowness = 1.3;
 };
 
-//! An engine in virtual time. Least recently used prompts are evicted for running turns; if these don't fit, the newest
-//! one is preempted.
+//! An engine in virtual time. Least recently used prompts are evicted for running turns; if the turns alone do not fit,
+//! the newest one is preempted.
 class ModelEngine
 {
 public:
     struct Run {
         std::size_t turn = 0;
-        //! The history of the prompt, and the one that it was forked from.
-        std::string line;
+        //! The conversation that the prompt belongs to, and the one that it was forked from.
+        std::string conversation;
         std::string parent;
         double prompt = 0;
         double parentPrompt = 0;
         //! Tokens that the parent shares with its own parent.
-        double grandPrompt = 0;
-        double toRead = 0;
-        double out = 0;
-        double made = 0;
+        double grandparentPrompt = 0;
+        double tokensToPrefill = 0;
+        double outputTokens = 0;
+        double generatedTokens = 0;
     };
 
     ModelEngine(EngineModel model, double slowness)
@@ -63,37 +63,38 @@
     Ms step(std::vector<std::size_t> &done)
     {
         admit();
-        Ms time = (model_.step + model_.stepPerTurn * static_cast<double>(running_.size())) * slowness_;
-        bool isReading = false;
+        Ms time = (model_.stepTime + model_.stepTimePerTurn * static_cast<double>(running_.size())) * slowness_;
+        bool hasPrefilled = false;
         for (Run &run : running_) {
-            if (run.toRead > 0) {
-                if (!isReading) {
-                    const double piece = std::min(run.toRead, model_.chunk);
-                    run.toRead -= piece;
-                    tokensRead_ += piece;
-                    time += piece / model_.tokensReadPerMs * slowness_;
-                    isReading = true;
+            if (run.tokensToPrefill > 0) {
+                if (!hasPrefilled) {
+                    const double chunk = std::min(run.tokensToPrefill, model_.chunkTokens);
+                    run.tokensToPrefill -= chunk;
+                    prefilledTokens_ += chunk;
+                    time += chunk / model_.prefillTokensPerMs * slowness_;
+                    hasPrefilled = true;
                 }
-                run.made += run.toRead > 0 ? 0 : 1;
+                run.generatedTokens += run.tokensToPrefill > 0 ? 0 : 1;
             } else {
-                run.made += 1;
+                run.generatedTokens += 1;
             }
         }
         for (auto run = running_.begin(); run != running_.end();) {
-            if (run->made < run->out) {
+            if (run->generatedTokens < run->outputTokens) {
                 ++run;
                 continue;
             }
-            store(run->line, run->prompt + run->out, run->prompt + run->out - run->parentPrompt);
+            addToCache(run->conversation, run->prompt + run->outputTokens,
+                       run->prompt + run->outputTokens - run->parentPrompt);
             done.push_back(run->turn);
             run = running_.erase(run);
         }
-        preempt();
+        freeMemory();
         return time;
     }
-    [[nodiscard]] double tokensRead() const
+    [[nodiscard]] double prefilledTokens() const
     {
-        return tokensRead_;
+        return prefilledTokens_;
     }
     [[nodiscard]] unsigned preemptions() const
     {
@@ -102,10 +103,10 @@
 
 private:
     struct CachedPrompt {
-        std::string line;
+        std::string conversation;
         double tokens = 0;
-        //! Tokens that aren't shared with the parent, which are stored once.
-        double own = 0;
+        //! Tokens that are not shared with the parent.
+        double ownTokens = 0;
     };
 
     void admit()
@@ -115,13 +116,14 @@
             queue_.pop_front();
             const double inherited
                 = run.parent.empty() ? run.parentPrompt : std::min(run.parentPrompt, cachedTokens(run.parent));
-            const double reusable = std::max(evict(run.line), inherited);
-            run.toRead = std::max(run.prompt - reusable, 1.0);
+            const double reusable = std::max(removeFromCache(run.conversation), inherited);
+            run.tokensToPrefill = std::max(run.prompt - reusable, 1.0);
             if (!run.parent.empty()) {
                 // The parent's prompt is a prefix of this one, so it is cached as well.
-                store(run.parent, std::max(evict(run.parent), run.parentPrompt), run.parentPrompt - run.grandPrompt);
+                addToCache(run.parent, std::max(removeFromCache(run.parent), run.parentPrompt),
+                           run.parentPrompt - run.grandparentPrompt);
             }
-            run.made = 0;
+            run.generatedTokens = 0;
             running_.push_back(std::move(run));
         }
     }
@@ -129,44 +131,46 @@
     {
         double sum = 0;
         for (const Run &run : running_) {
-            sum += run.prompt + run.made - run.parentPrompt;
+            sum += run.prompt + run.generatedTokens - run.parentPrompt;
         }
         return sum;
     }
-    void preempt()
+    void freeMemory()
     {
-        while (running_.size() > 1 && runningTokens() > model_.memory) {
+        while (running_.size() > 1 && runningTokens() > model_.memoryTokens) {
             queue_.push_front(std::move(running_.back()));
             running_.pop_back();
             ++preemptions_;
         }
-        while (!cache_.empty() && cachedTokens_ + runningTokens() > model_.memory) {
-            cachedTokens_ -= cache_.back().own;
+        while (!cache_.empty() && totalCachedTokens_ + runningTokens() > model_.memoryTokens) {
+            totalCachedTokens_ -= cache_.back().ownTokens;
             cache_.pop_back();
         }
     }
-    void store(const std::string &line, double tokens, double own)
+    void addToCache(const std::string &conversation, double tokens, double ownTokens)
     {
-        evict(line);
-        cache_.push_front({line, tokens, own});
-        cachedTokens_ += own;
+        removeFromCache(conversation);
+        cache_.push_front({conversation, tokens, ownTokens});
+        totalCachedTokens_ += ownTokens;
     }
-    double evict(const std::string &line)
+    double removeFromCache(const std::string &conversation)
     {
-        const auto found = std::find_if(cache_.begin(), cache_.end(),
-                                        [&](const CachedPrompt &cached) { return cached.line == line; });
+        const auto found = std::find_if(cache_.begin(), cache_.end(), [&](const CachedPrompt &cached) {
+            return cached.conversation == conversation;
+        });
         if (found == cache_.end()) {
             return 0;
         }
         const double tokens = found->tokens;
-        cachedTokens_ -= found->own;
+        totalCachedTokens_ -= found->ownTokens;
         cache_.erase(found);
         return tokens;
     }
-    [[nodiscard]] double cachedTokens(const std::string &line) const
+    [[nodiscard]] double cachedTokens(const std::string &conversation) const
     {
-        const auto found = std::find_if(cache_.begin(), cache_.end(),
-                                        [&](const CachedPrompt &cached) { return cached.line == line; });
+        const auto found = std::find_if(cache_.begin(), cache_.end(), [&](const CachedPrompt &cached) {
+            return cached.conversation == conversation;
+        });
         return found == cache_.end() ? 0 : found->tokens;
     }
 
@@ -175,8 +179,8 @@
     std::deque<Run> queue_;
     std::vector<Run> running_;
     std::list<CachedPrompt> cache_;
-    double cachedTokens_ = 0;
-    double tokensRead_ = 0;
+    double totalCachedTokens_ = 0;
+    double prefilledTokens_ = 0;
     unsigned preemptions_ = 0;
 };
 
