--- a/include/cardamompost/program/cp_call_machine.hpp
+++ b/include/cardamompost/program/cp_call_machine.hpp
@@ -10,7 +10,7 @@
 
 //! The state of a call.
 enum class CallState : std::uint8_t {
-    //! Journaled, waiting for its turn and a replica.
+    //! Journaled, waiting for earlier calls of its program and for a replica.
     Queued,
     //! The intent of an attempt is journaled; the backend server may have received it.
     Dispatched,
@@ -28,7 +28,7 @@
     Named {CallState::Unknown, "unknown"},
 };
 
-//! An event that changes the state of a call. Each is a journal record.
+//! An event that changes the state of a call. Each comes from a journal record.
 enum class CallEvent : std::uint8_t {
     //! The first attempt, or a retry of an idempotent call.
     IntentWritten,
--- a/include/cardamompost/program/cp_call_request.hpp
+++ b/include/cardamompost/program/cp_call_request.hpp
@@ -40,7 +40,8 @@
     std::string deployment;
     std::string workClass;
     std::int64_t budgetTokens = 0;
-    std::int64_t deadlineMs = 0;
+    //! Time from the creation of the program to its deadline; 0 for no deadline.
+    std::int64_t timeLimitMs = 0;
     ProgramId parent;
 };
 
@@ -52,13 +53,13 @@
 
 //! The form in which a call is journaled.
 [[nodiscard]] std::string encodeCallRequest(const CallRequest &request);
-//! The inverse of encodeCallRequest(). The JSON must come from it, as a caller's is not validated here.
+//! The inverse of encodeCallRequest(), which must have made the JSON: it is not validated here.
 [[nodiscard]] CallRequest decodeCallRequest(CallKind kind, std::string_view json);
 
 //! Upper bound of the tokens of messages: one per byte, plus a fixed overhead per message.
 [[nodiscard]] std::int64_t promptTokenBound(const boost::json::array &messages);
 
-//! Messages and answers of the model calls of a program that ran, with sequence numbers below `before`.
+//! Messages and answers of a program's executed model calls with sequence numbers below `before`.
 [[nodiscard]] boost::json::array historyMessages(const Program &program, std::uint32_t before);
 
 //! The calls of a program in order, in the form that callers get.
--- a/src/cardamompost/program/cp_call_machine.cpp
+++ b/src/cardamompost/program/cp_call_machine.cpp
@@ -26,7 +26,7 @@
 struct ResultUnknown {
 };
 
-struct CallTable : msm::front::state_machine_def<CallTable> {
+struct CallMachineDefinition : msm::front::state_machine_def<CallMachineDefinition> {
     struct Queued : msm::front::state<> {
     };
     struct Dispatched : msm::front::state<> {
@@ -67,13 +67,13 @@
     bool isIdempotent = true;
 };
 
-using CallBackEnd = msm::back::state_machine<CallTable>;
+using CallBackEnd = msm::back::state_machine<CallMachineDefinition>;
 
 // The back end numbers the states in the order of their first use in the transition table.
 constexpr std::array stateOrder {CallState::Queued, CallState::Dispatched, CallState::NotRun, CallState::Answered,
                                  CallState::Unknown};
 
-//! A back end that can start from any state that is not final, so that a call stores its state only.
+//! A back end that can start from any state that is not final, so that CallMachine need not store a back end.
 class RestartableBackEnd : public CallBackEnd
 {
 public:
--- a/src/cardamompost/program/cp_call_request.cpp
+++ b/src/cardamompost/program/cp_call_request.cpp
@@ -20,7 +20,7 @@
 constexpr std::int64_t maxTokensOfCall = 1'000'000;
 constexpr std::int64_t messageOverheadTokens = 8;
 constexpr std::int64_t maxBudgetTokens = 1'000'000'000;
-constexpr std::int64_t maxDeadlineMs = 86'400'000;
+constexpr std::int64_t maxTimeLimitMs = 86'400'000;
 
 const std::array<std::string_view, 8> samplingFields {
     "temperature", "top_p", "stop", "seed", "presence_penalty", "frequency_penalty", "response_format", "tools"};
@@ -202,7 +202,7 @@
     BOOST_OUTCOME_TRY(request.deployment, readText(object, "deployment", true));
     BOOST_OUTCOME_TRY(request.workClass, readText(object, "class", true));
     BOOST_OUTCOME_TRY(request.budgetTokens, readNumber(object, "budget_tokens", 0, 1, maxBudgetTokens));
-    BOOST_OUTCOME_TRY(request.deadlineMs, readNumber(object, "deadline_ms", 0, 1, maxDeadlineMs));
+    BOOST_OUTCOME_TRY(request.timeLimitMs, readNumber(object, "deadline_ms", 0, 1, maxTimeLimitMs));
     BOOST_OUTCOME_TRY(request.parent, readText(object, "parent", false));
     if (!request.parent.empty() && !isProgramId(request.parent)) {
         return invalidField("parent", "must be a program's id");
--- a/src/cardamompost/program/cp_program.cpp
+++ b/src/cardamompost/program/cp_program.cpp
@@ -85,8 +85,9 @@
                    "a call is sent only after all earlier calls have final answers");
     // The journal does not record whether an attempt was sent. The writer ensures that a call that is not idempotent
     // gets another intent only after one that was not sent.
-    const bool isRetry = call.machine.state() == CallState::Dispatched && !call.accepted.isIdempotent;
-    const bool isValid = call.machine.process(isRetry ? CallEvent::IntentAfterNotSent : CallEvent::IntentWritten);
+    const bool isRetryAfterNotSent = call.machine.state() == CallState::Dispatched && !call.accepted.isIdempotent;
+    const bool isValid
+        = call.machine.process(isRetryAfterNotSent ? CallEvent::IntentAfterNotSent : CallEvent::IntentWritten);
     checkInvariant(isValid, "an intent is valid in the state of its call");
     call.attempts.push_back(intent);
     if (call.accepted.kind == CallKind::Model) {
--- a/src/daemon/cp_call_service.cpp
+++ b/src/daemon/cp_call_service.cpp
@@ -171,7 +171,7 @@
     created.idempotencyKey = request.idempotencyKey;
     created.bodyHash = stableHash(request.body);
     created.budgetTokens = programRequest.budgetTokens == 0 ? caller->programBudgetTokens : programRequest.budgetTokens;
-    created.deadlineMs = programRequest.deadlineMs == 0 ? 0 : wallClockMs() + programRequest.deadlineMs;
+    created.deadlineMs = programRequest.timeLimitMs == 0 ? 0 : wallClockMs() + programRequest.timeLimitMs;
     created.parent = programRequest.parent;
     if (created.budgetTokens > caller->programBudgetTokens) {
         return makeError(ErrorKind::BudgetExhausted, "'budget_tokens' exceeds the caller's limit per program");
--- a/tests/program/cp_program.tests.cpp
+++ b/tests/program/cp_program.tests.cpp
@@ -79,18 +79,18 @@
 }
 
 // Guards against double execution when the owner fails after sending: the next owner must not write a second intent.
-BOOST_AUTO_TEST_CASE(a_call_that_may_not_be_repeated_has_no_second_attempt)
+BOOST_AUTO_TEST_CASE(a_call_that_is_not_idempotent_is_not_sent_twice)
 {
     CallMachine machine(false);
     BOOST_TEST(machine.process(CallEvent::IntentWritten));
     BOOST_TEST(!machine.process(CallEvent::IntentWritten));
     BOOST_TEST(machine.process(CallEvent::IntentAfterNotSent));
-    CallMachine repeatable(true);
-    BOOST_TEST(repeatable.process(CallEvent::IntentWritten));
-    BOOST_TEST(repeatable.process(CallEvent::IntentWritten));
+    CallMachine idempotent(true);
+    BOOST_TEST(idempotent.process(CallEvent::IntentWritten));
+    BOOST_TEST(idempotent.process(CallEvent::IntentWritten));
 }
 
-BOOST_AUTO_TEST_CASE(the_budget_is_reserved_before_and_settled_after)
+BOOST_AUTO_TEST_CASE(tokens_are_reserved_when_a_call_is_accepted_and_settled_by_its_result)
 {
     ProgramFixture fixture;
     fixture.accept(1, true, 400);
@@ -129,7 +129,7 @@
 }
 
 // The sequence number of a refused call is reused, while a late repeat of the refused request is still refused.
-BOOST_AUTO_TEST_CASE(a_call_that_was_not_run_gives_its_sequence_back_but_keeps_its_refusal)
+BOOST_AUTO_TEST_CASE(the_sequence_number_of_a_call_that_was_not_run_is_reused_and_its_refusal_kept)
 {
     ProgramFixture fixture;
     fixture.accept(1, true, 100, "first");
@@ -166,7 +166,7 @@
     BOOST_TEST(historyCalls(fixture.program).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(the_same_records_make_the_same_program)
+BOOST_AUTO_TEST_CASE(an_intent_survives_encoding_and_an_ended_program_records_backend_releases)
 {
     ProgramFixture fixture;
     fixture.accept(1, true, 200, "key");
