--- a/include/cardamompost/config/cp_configuration.hpp
+++ b/include/cardamompost/config/cp_configuration.hpp
@@ -12,7 +12,7 @@
 //! A class of work with its priority and deadline.
 struct WorkClass {
     std::string name;
-    //! Priority; 0 is the highest. A class never waits for one with a higher number.
+    //! Priority; 0 is the highest.
     int rank = 0;
     //! Longest time from a call's arrival to its final answer.
     Milliseconds deadline {0};
@@ -75,13 +75,13 @@
 class Configuration
 {
 public:
-    //! Reports all errors at once; a document with errors yields no configuration.
     struct ParseResult;
+    //! Reports all errors at once.
     [[nodiscard]] static ParseResult parse(std::string_view text);
 
     [[nodiscard]] const WorkClass *findClass(std::string_view name) const;
     [[nodiscard]] const Deployment *findDeployment(std::string_view name) const;
-    //! The first deployment of a model that a caller may use; null if there is none.
+    //! The caller's first deployment with this model or deployment name; null if there is none.
     [[nodiscard]] const Deployment *findModel(std::string_view model, const Caller &caller) const;
     [[nodiscard]] const Service *findService(std::string_view name) const;
     [[nodiscard]] const Caller *findCaller(std::string_view name) const;
@@ -119,7 +119,7 @@
     std::vector<ConfigError> errors;
 };
 
-//! The valid keys by section, for the reference page and its check.
+//! The valid keys of each kind of section.
 [[nodiscard]] const std::map<std::string, std::vector<std::string>, std::less<>> &configurationKeys();
 
 } // namespace cardamompost
--- a/include/cardamompost/config/cp_section_document.hpp
+++ b/include/cardamompost/config/cp_section_document.hpp
@@ -29,7 +29,7 @@
     }
 };
 
-//! A document as a list of sections, so that the size of a delta follows the size of the change.
+//! A document as a list of sections, so that a small change gives a small delta.
 //!
 //! Comments belong to the section below them. The order of sections that both documents have is kept.
 class SectionDocument
--- a/include/cardamompost/config/cp_section_reader.hpp
+++ b/include/cardamompost/config/cp_section_reader.hpp
@@ -46,11 +46,12 @@
     void finish();
 
 private:
-    const IniEntry *take(std::string_view key);
+    //! The entry with the key, or null; marks the key as read.
+    const IniEntry *readEntry(std::string_view key);
 
     const IniSection &section_;
     std::vector<ConfigError> &errors_;
-    std::set<std::string, std::less<>> known_;
+    std::set<std::string, std::less<>> readKeys_;
 };
 
 } // namespace cardamompost
--- a/include/cardamompost/config/cp_settings.hpp
+++ b/include/cardamompost/config/cp_settings.hpp
@@ -52,7 +52,7 @@
 
 [[nodiscard]] SettingsResult parseSettings(std::string_view text);
 
-//! The valid keys by section, for the reference page and its check.
+//! The valid keys of each kind of section.
 [[nodiscard]] const std::map<std::string, std::vector<std::string>, std::less<>> &settingsKeys();
 
 } // namespace cardamompost
--- a/include/cardamompost/edge/cp_iplatform_adapter.hpp
+++ b/include/cardamompost/edge/cp_iplatform_adapter.hpp
@@ -42,7 +42,7 @@
     std::string readiness;
     std::string directory;
     std::string document;
-    //! Prefix, followed by the name of a VM.
+    //! Prefix of the path to retire a VM, followed by the VM's name.
     std::string retire;
 };
 
@@ -51,7 +51,7 @@
     std::vector<BackendServer> servers;
     //! Empty on the last page.
     std::string next;
-    //! Number of invalid entries that were skipped, and the reason for the last one.
+    //! Number of invalid list items that were skipped, and the reason for the last one.
     std::size_t skipped = 0;
     std::string reason;
 };
--- a/include/cardamompost/routing/cp_backend_list.hpp
+++ b/include/cardamompost/routing/cp_backend_list.hpp
@@ -8,13 +8,14 @@
 namespace cardamompost
 {
 
-//! An entry of the list of live and leaving backend servers.
+//! An item of the list of active and draining backend servers.
 struct BackendServer {
     std::string id;
     std::string service;
     Address address;
     std::string failureDomain;
     unsigned slots = 1;
+    //! The server drains and gets no new requests.
     bool isLeaving = false;
     //! Start time that the server reports, in milliseconds since 1970; 0 if it reports none. A server that restarts
     //! under the same id has a higher value and keeps no state of its previous incarnation.
@@ -23,13 +24,13 @@
     friend bool operator==(const BackendServer &, const BackendServer &) = default;
 };
 
-//! Keeps one entry per id: the one with the latest incarnation, or the last one of equal incarnations.
+//! Keeps one server per id: the one with the latest incarnation, or the last one of equal incarnations.
 //!
-//! Stale data may list a server with an incarnation from before its restart. Using that entry would discard the state
+//! Stale data may list a server with an incarnation from before its restart. Using that item would discard the state
 //! of the running incarnation.
-//! \param before  the list that `servers` replaces; for an id in both lists, the later incarnation is kept
+//! \param previous  the list that `servers` replaces; for an id in both lists, the later incarnation is kept
 [[nodiscard]] std::vector<BackendServer> latestIncarnations(std::vector<BackendServer> servers,
-                                                            const std::vector<BackendServer> &before = {});
+                                                            const std::vector<BackendServer> &previous = {});
 
 //! Orders lists by the term of the reader, then by sequence number within the term.
 struct BackendListVersion {
--- a/include/cardamompost/routing/cp_route_document.hpp
+++ b/include/cardamompost/routing/cp_route_document.hpp
@@ -46,7 +46,7 @@
     RouteKind kind = RouteKind::Unsafe;
     //! Longest time until the caller gets an answer.
     Milliseconds timeout {0};
-    //! Latency within which an answer counts in full.
+    //! Latency within which an answer earns its full value.
     Milliseconds targetLatency {0};
     //! Priority; 0 is the highest.
     unsigned rank = 0;
--- a/src/cardamompost/config/cp_configuration.cpp
+++ b/src/cardamompost/config/cp_configuration.cpp
@@ -71,7 +71,7 @@
         checkReferences(document);
     }
 
-    Configuration::ParseResult take()
+    Configuration::ParseResult takeResult()
     {
         std::stable_sort(errors_.begin(), errors_.end(), [](const auto &a, const auto &b) { return a.line < b.line; });
         return {std::move(out_), std::move(errors_)};
@@ -255,7 +255,7 @@
 
 Configuration::ParseResult Configuration::parse(std::string_view text)
 {
-    return ConfigurationReader(IniDocument::parse(text)).take();
+    return ConfigurationReader(IniDocument::parse(text)).takeResult();
 }
 
 const WorkClass *Configuration::findClass(std::string_view name) const
--- a/src/cardamompost/config/cp_section_reader.cpp
+++ b/src/cardamompost/config/cp_section_reader.cpp
@@ -74,15 +74,15 @@
 {
 }
 
-const IniEntry *SectionReader::take(std::string_view key)
+const IniEntry *SectionReader::readEntry(std::string_view key)
 {
-    known_.emplace(key);
+    readKeys_.emplace(key);
     return section_.find(key);
 }
 
 std::string SectionReader::text(std::string_view key, std::string_view fallback)
 {
-    const IniEntry *entry = take(key);
+    const IniEntry *entry = readEntry(key);
     return entry == nullptr ? std::string(fallback) : entry->value;
 }
 
@@ -97,7 +97,7 @@
 
 std::int64_t SectionReader::integer(std::string_view key, std::int64_t fallback, std::int64_t min, std::int64_t max)
 {
-    const IniEntry *entry = take(key);
+    const IniEntry *entry = readEntry(key);
     if (entry == nullptr) {
         return fallback;
     }
@@ -111,7 +111,7 @@
 
 double SectionReader::number(std::string_view key, double fallback, double min, double max)
 {
-    const IniEntry *entry = take(key);
+    const IniEntry *entry = readEntry(key);
     if (entry == nullptr) {
         return fallback;
     }
@@ -125,7 +125,7 @@
 
 bool SectionReader::boolean(std::string_view key, bool fallback)
 {
-    const IniEntry *entry = take(key);
+    const IniEntry *entry = readEntry(key);
     if (entry == nullptr) {
         return fallback;
     }
@@ -160,7 +160,7 @@
 void SectionReader::finish()
 {
     for (const IniEntry &entry : section_.entries) {
-        if (!known_.contains(entry.key)) {
+        if (!readKeys_.contains(entry.key)) {
             addError(entry.key, "unknown key in this section");
         }
     }
--- a/src/cardamompost/routing/cp_backend_list.cpp
+++ b/src/cardamompost/routing/cp_backend_list.cpp
@@ -6,7 +6,7 @@
 {
 
 std::vector<BackendServer> latestIncarnations(std::vector<BackendServer> servers,
-                                              const std::vector<BackendServer> &before)
+                                              const std::vector<BackendServer> &previous)
 {
     std::vector<BackendServer> kept;
     std::unordered_map<std::string, std::size_t> positions;
@@ -18,7 +18,7 @@
             kept[position->second] = std::move(server);
         }
     }
-    for (const BackendServer &server : before) {
+    for (const BackendServer &server : previous) {
         const auto position = positions.find(server.id);
         if (position != positions.end() && server.incarnation > kept[position->second].incarnation) {
             kept[position->second] = server;
--- a/src/cardamompost/routing/cp_document_buckets.cpp
+++ b/src/cardamompost/routing/cp_document_buckets.cpp
@@ -181,7 +181,7 @@
 }
 
 //! Sorts the items, so that the encoding does not depend on their order in the document.
-void sortByName(BucketItems &items)
+void sortItems(BucketItems &items)
 {
     std::sort(items.routes.begin(), items.routes.end(), [](const Route *left, const Route *right) {
         return std::tie(left->host, left->prefix) < std::tie(right->host, right->prefix);
@@ -198,7 +198,7 @@
     if (items.routes.empty() && items.services.empty() && items.accounts.empty() && items.bounds == nullptr) {
         return {};
     }
-    sortByName(items);
+    sortItems(items);
     capnp::MallocMessageBuilder message;
     auto out = message.initRoot<schema::DocumentBucket>();
     encodeRoutes(items.routes, out);
