--- a/tools/scripts/check_docs.sh
+++ b/tools/scripts/check_docs.sh
@@ -13,7 +13,7 @@
 done < <($build/cardamompost config keys)
 known=$($build/cardamompost config keys)
 while read -r section key; do
-    echo "$known" | grep -qx "$section $key" || {
+    grep -qx "$section $key" <<<"$known" || {
         echo "docs/configuration.md names $section.$key, which the code does not know"
         status=1
     }
