--- a/src/daemon/cp_api_server.cpp
+++ b/src/daemon/cp_api_server.cpp
@@ -136,7 +136,7 @@
         return textResponse("ok\n", "text/plain");
     }
     if (request.path == "/readyz" && isRead) {
-        const bool isReady = parts_.control.isCurrent() && !parts_.control.isLeaving();
+        const bool isReady = parts_.control.isConfigurationCurrent() && !parts_.control.isLeaving();
         HttpResponse response = textResponse(isReady ? "ready\n" : "not ready\n", "text/plain");
         response.status = isReady ? 200 : 503;
         return response;
@@ -203,7 +203,7 @@
     const auto view = parts_.replica.view();
     const std::string_view key = bearerKey(request);
     const Caller *caller = key.empty() ? nullptr : view->configuration.callerByKey(key);
-    if (!parts_.control.isCurrent()) {
+    if (!parts_.control.isConfigurationCurrent()) {
         // Without contact with the leader, this VM may hold an outdated configuration.
         Error error = makeError(ErrorKind::NotReady, "this VM has lost contact with the leader; retry on another VM");
         error.retryAfter = Milliseconds(1000);
--- a/src/daemon/cp_control_client.cpp
+++ b/src/daemon/cp_control_client.cpp
@@ -19,7 +19,7 @@
 constexpr Milliseconds proposeTimeout {2500};
 constexpr Milliseconds retryPause {60};
 constexpr Milliseconds pullWait {2000};
-constexpr Milliseconds pullMargin {1000};
+constexpr Milliseconds pullTimeoutMargin {1000};
 // The holder uses only this fraction of the granted lease, to tolerate clock drift.
 constexpr double leaseSafetyFactor = 0.9;
 
@@ -69,14 +69,14 @@
 {
     const std::uint64_t version = parts_.replica.view()->state.configurationVersion();
     const std::lock_guard lock(mutex_);
-    return timeNow() < leaseUntil_ && version >= requiredVersion_;
+    return timeNow() < leaseUntil_ && version >= requiredConfigurationVersion_;
 }
 
-bool ControlClient::isCurrent() const
+bool ControlClient::isConfigurationCurrent() const
 {
     const std::uint64_t version = parts_.replica.view()->state.configurationVersion();
     const std::lock_guard lock(mutex_);
-    return timeNow() < currentUntil_ && version >= requiredVersion_;
+    return timeNow() < configurationCurrentUntil_ && version >= requiredConfigurationVersion_;
 }
 
 bool ControlClient::isLeaving() const
@@ -89,14 +89,15 @@
 VmName ControlClient::leaderCandidate() const
 {
     const std::lock_guard lock(mutex_);
-    return leader_.empty() ? parts_.settings.keepers[nextKeeper_ % parts_.settings.keepers.size()].name : leader_;
+    return leaderHint_.empty() ? parts_.settings.keepers[nextKeeper_ % parts_.settings.keepers.size()].name
+                               : leaderHint_;
 }
 
 void ControlClient::updateLeaderHint(const VmName &asked, const VmName &leader)
 {
     const std::lock_guard lock(mutex_);
     // A keeper that refuses while naming itself as leader is not retried at once; the next keeper is asked.
-    leader_ = leader == asked ? VmName {} : leader;
+    leaderHint_ = leader == asked ? VmName {} : leader;
     ++nextKeeper_;
 }
 
@@ -123,12 +124,13 @@
 void ControlClient::onLeaseReply(TimePoint sentAt, const LeaseReply &reply)
 {
     const std::lock_guard lock(mutex_);
-    const auto usable = std::chrono::duration_cast<Milliseconds>(Milliseconds(reply.durationMs) * leaseSafetyFactor);
-    leaseUntil_ = std::max(leaseUntil_, sentAt + usable);
-    currentUntil_ = std::max(currentUntil_, sentAt + maxConfigurationStaleness);
-    requiredVersion_ = std::max(requiredVersion_, reply.configurationVersion);
+    const auto usableDuration
+        = std::chrono::duration_cast<Milliseconds>(Milliseconds(reply.durationMs) * leaseSafetyFactor);
+    leaseUntil_ = std::max(leaseUntil_, sentAt + usableDuration);
+    configurationCurrentUntil_ = std::max(configurationCurrentUntil_, sentAt + maxConfigurationStaleness);
+    requiredConfigurationVersion_ = std::max(requiredConfigurationVersion_, reply.configurationVersion);
     leaderIndex_ = std::max(leaderIndex_, reply.minIndex);
-    leader_ = reply.leader;
+    leaderHint_ = reply.leader;
 }
 
 asio::awaitable<void> ControlClient::renewLease()
@@ -145,31 +147,32 @@
         } else {
             updateLeaderHint(keeper, reply ? reply.value().leader : VmName {});
         }
-        co_await sleepFor(isGranted ? leaseRenewal : retryPause);
+        co_await sleepFor(isGranted ? leaseRenewalInterval : retryPause);
     }
 }
 
 asio::awaitable<void> ControlClient::pullEntries()
 {
-    std::size_t keeper = stableHash(parts_.settings.vm);
+    std::size_t keeperIndex = stableHash(parts_.settings.vm);
     while (!isStopped_) {
-        const auto client = parts_.hub.client(parts_.settings.keepers[keeper % parts_.settings.keepers.size()].name);
+        const auto client
+            = parts_.hub.client(parts_.settings.keepers[keeperIndex % parts_.settings.keepers.size()].name);
         FrameBody request = PullRequest {parts_.replica.view()->index, static_cast<std::uint32_t>(pullWait.count())};
-        const Result<FrameBody> reply = co_await client->call(std::move(request), pullWait + pullMargin);
+        const Result<FrameBody> reply = co_await client->call(std::move(request), pullWait + pullTimeoutMargin);
         const PullReply *pulled = reply ? std::get_if<PullReply>(&reply.value()) : nullptr;
         if (pulled == nullptr) {
-            ++keeper;
+            ++keeperIndex;
             co_await sleepFor(retryPause);
             continue;
         }
         if (pulled->snapshotIndex != 0) {
             const Result<void> restored = parts_.replica.restore(pulled->snapshotIndex, pulled->snapshot);
-            keeper += restored ? 0 : 1;
+            keeperIndex += restored ? 0 : 1;
         } else if (!pulled->entries.empty()) {
             parts_.replica.apply(pulled->entries);
         } else {
             // A keeper that returns no entries may be partitioned from the leader; the next one is asked.
-            ++keeper;
+            ++keeperIndex;
         }
     }
 }
@@ -207,7 +210,7 @@
         updateLeaderHint(keeper, reply ? reply.value().leader : VmName {});
         co_await sleepFor(retryPause);
     }
-    Error error = notReady("no leader of the control log accepted the command");
+    Error error = notReady("no leader of the control log confirmed the command in time");
     error.outcome = Outcome::Unknown;
     co_return error;
 }
--- a/src/daemon/cp_control_client.hpp
+++ b/src/daemon/cp_control_client.hpp
@@ -37,7 +37,7 @@
     //! True while this VM may act as the owner of its partitions.
     [[nodiscard]] bool hasLease() const;
     //! True while this VM's configuration is recent enough to authorize callers.
-    [[nodiscard]] bool isCurrent() const;
+    [[nodiscard]] bool isConfigurationCurrent() const;
     //! True if the control state records this process as leaving.
     [[nodiscard]] bool isLeaving() const;
 
@@ -65,11 +65,11 @@
     std::function<std::uint32_t()> countPrograms_;
     std::uint64_t bootId_;
     mutable std::mutex mutex_;
-    VmName leader_;
+    VmName leaderHint_;
     std::size_t nextKeeper_ = 0;
     TimePoint leaseUntil_ {};
-    TimePoint currentUntil_ {};
-    std::uint64_t requiredVersion_ = 0;
+    TimePoint configurationCurrentUntil_ {};
+    std::uint64_t requiredConfigurationVersion_ = 0;
     LogIndex leaderIndex_ = 0;
     std::atomic<bool> isStopped_ {false};
 };
--- a/src/daemon/cp_control_replica.cpp
+++ b/src/daemon/cp_control_replica.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Size of the recent entries kept for VMs that pull, so that a restarted VM rarely needs a snapshot.
+// Size of the recent entries kept for VMs that pull, so that a lagging VM rarely needs a snapshot.
 constexpr std::size_t maxRecentBytes = 2U << 20U;
 constexpr std::size_t maxReplyBytes = 1U << 20U;
 
@@ -52,13 +52,13 @@
         const std::lock_guard lock(mutex_);
         for (const LogEntry &entry : entries) {
             if (entry.index > current->index) {
-                recent_.push_back(entry);
+                recentEntries_.push_back(entry);
                 recentBytes_ += entry.payload.size();
             }
         }
         while (recentBytes_ > maxRecentBytes) {
-            recentBytes_ -= recent_.front().payload.size();
-            recent_.pop_front();
+            recentBytes_ -= recentEntries_.front().payload.size();
+            recentEntries_.pop_front();
         }
     }
     publish(next);
@@ -76,7 +76,7 @@
     Configuration configuration = Configuration::parse(state.document().text()).configuration;
     {
         const std::lock_guard lock(mutex_);
-        recent_.clear();
+        recentEntries_.clear();
         recentBytes_ = 0;
     }
     publish(std::make_shared<const ControlView>(ControlView {index, std::move(state), std::move(configuration)}));
@@ -105,13 +105,13 @@
     if (index >= view_->index) {
         return reply;
     }
-    if (recent_.empty() || recent_.front().index > index + 1) {
+    if (recentEntries_.empty() || recentEntries_.front().index > index + 1) {
         reply.snapshotIndex = view_->index;
         reply.snapshot = view_->state.encode();
         return reply;
     }
     std::size_t bytes = 0;
-    for (const LogEntry &entry : recent_) {
+    for (const LogEntry &entry : recentEntries_) {
         if (entry.index <= index) {
             continue;
         }
--- a/src/daemon/cp_control_replica.hpp
+++ b/src/daemon/cp_control_replica.hpp
@@ -36,7 +36,7 @@
     std::map<LogIndex, ApplyResult> apply(const std::vector<LogEntry> &entries);
     //! Replaces the state by a snapshot; one that is not newer than the view is ignored. Errors: StorageCorrupt.
     Result<void> restore(LogIndex index, const std::string &bytes);
-    //! Returns the entries after an index, or a snapshot if those entries are not kept.
+    //! Returns entries that follow an index, up to a size limit, or a snapshot if the next entry is no longer kept.
     [[nodiscard]] PullReply changesAfter(LogIndex index) const;
     //! Handlers run on the thread that applies or restores, without a lock held.
     void subscribe(ChangeHandler handler);
@@ -46,7 +46,7 @@
 
     mutable std::mutex mutex_;
     std::shared_ptr<const ControlView> view_;
-    std::deque<LogEntry> recent_;
+    std::deque<LogEntry> recentEntries_;
     std::size_t recentBytes_ = 0;
     std::vector<ChangeHandler> handlers_;
 };
--- a/src/daemon/cp_control_runner.cpp
+++ b/src/daemon/cp_control_runner.cpp
@@ -42,7 +42,7 @@
     if (stored.snapshot.index != 0) {
         BOOST_OUTCOME_TRYV(parts_.replica.restore(stored.snapshot.index, stored.snapshot.state));
     }
-    lastSnapshot_ = stored.snapshot.index;
+    lastSnapshotIndex_ = stored.snapshot.index;
     Membership initial;
     for (const KeeperPeer &keeper : parts_.settings.keepers) {
         initial.voters.insert(keeper.name);
@@ -112,23 +112,23 @@
 
 void ControlRunner::storeReady(std::shared_ptr<RaftReady> ready)
 {
-    const bool needsDisk = ready->hard || ready->snapshot || !ready->entries.empty() || newSnapshot_.index != 0;
+    const bool needsDisk = ready->hard || ready->snapshot || !ready->entries.empty() || pendingSnapshot_.index != 0;
     if (!needsDisk) {
         completeReady(*ready);
         return;
     }
-    auto own = std::make_shared<RaftSnapshot>(std::exchange(newSnapshot_, {}));
+    auto pendingSnapshot = std::make_shared<RaftSnapshot>(std::exchange(pendingSnapshot_, {}));
     DiskThread::Job job;
     job.group = controlGroup;
-    job.prepare = [ready, own](LogStore & /*store*/, LogBatch &batch) {
+    job.prepare = [ready, pendingSnapshot](LogStore & /*store*/, LogBatch &batch) {
         if (ready->hard) {
             batch.putHardState(controlGroup, *ready->hard);
         }
         if (ready->snapshot) {
             batch.putSnapshot(controlGroup, *ready->snapshot);
         }
-        if (own->index != 0) {
-            batch.putSnapshot(controlGroup, *own);
+        if (pendingSnapshot->index != 0) {
+            batch.putSnapshot(controlGroup, *pendingSnapshot);
         }
         for (const LogEntry &entry : ready->entries) {
             batch.putEntry(controlGroup, entry);
@@ -167,7 +167,7 @@
     if (ready.snapshot) {
         const Result<void> restored = parts_.replica.restore(ready.snapshot->index, ready.snapshot->state);
         checkInvariant(restored.has_value(), "a received snapshot can be read");
-        lastSnapshot_ = ready.snapshot->index;
+        lastSnapshotIndex_ = ready.snapshot->index;
     }
     isFormed_ = node_->log().lastIndex() > 0;
     term_ = node_->term();
@@ -215,12 +215,12 @@
 void ControlRunner::compactIfNeeded()
 {
     const std::shared_ptr<const ControlView> view = parts_.replica.view();
-    if (view->index < lastSnapshot_ + entriesPerSnapshot) {
+    if (view->index < lastSnapshotIndex_ + entriesPerSnapshot) {
         return;
     }
-    lastSnapshot_ = view->index;
+    lastSnapshotIndex_ = view->index;
     node_->compact(view->index, view->state.encode());
-    newSnapshot_ = node_->log().snapshot();
+    pendingSnapshot_ = node_->log().snapshot();
 }
 
 void ControlRunner::onPropose(std::string command, std::function<void(ProposeReply)> done)
@@ -245,7 +245,7 @@
     // A proposal of a deposed leader may never be applied at its index, or only much later. The proposer retries;
     // commands are idempotent.
     for (auto item = proposals_.begin(); item != proposals_.end();) {
-        if (now - item->second.since < proposalTimeout) {
+        if (now - item->second.proposedAt < proposalTimeout) {
             ++item;
             continue;
         }
@@ -322,7 +322,7 @@
 void ControlRunner::confirmRead(std::function<void(bool)> done)
 {
     asio::post(strand_, [self = shared_from_this(), done = std::move(done)]() mutable {
-        const std::uint64_t id = self->nextRead_++;
+        const std::uint64_t id = self->nextReadId_++;
         if (!self->isRunning() || !self->node_->requestRead(id)) {
             done(false);
             return;
@@ -353,7 +353,7 @@
     }
     leadingTerm_ = node_->term();
     leadingSince_ = now;
-    leaderProposal_ = 0;
+    leaderProposalIndex_ = 0;
     leases_.clear();
     // The previous leader's lease times are not replicated. All leases restart now, so that a new leader does not
     // mark every VM as lost.
@@ -397,8 +397,8 @@
 
 void ControlRunner::proposeAsLeader(const ControlCommand &command)
 {
-    // One proposal at a time: the next is planned from the state after this one is applied.
-    if (leaderProposal_ > parts_.replica.view()->index) {
+    // One proposal at a time: the next is planned from the state after the pending one is applied.
+    if (leaderProposalIndex_ > parts_.replica.view()->index) {
         return;
     }
     if (const auto *vm = std::get_if<VmRecord>(&command)) {
@@ -407,7 +407,7 @@
     }
     const Result<LogIndex> index = node_->propose(encodeCommand(command));
     if (index) {
-        leaderProposal_ = index.value();
+        leaderProposalIndex_ = index.value();
         processReady();
     }
 }
--- a/src/daemon/cp_control_runner.hpp
+++ b/src/daemon/cp_control_runner.hpp
@@ -31,7 +31,7 @@
     //! StorageCorrupt.
     Result<void> load();
     void start();
-    //! True once this member's log holds an entry.
+    //! True once this member's log holds an entry, which rules out a new system.
     [[nodiscard]] bool isFormed() const
     {
         return isFormed_;
@@ -52,7 +52,7 @@
 private:
     struct Proposal {
         Term term = 0;
-        TimePoint since {};
+        TimePoint proposedAt {};
         std::function<void(ProposeReply)> done;
     };
     struct Lease {
@@ -93,13 +93,13 @@
     std::atomic<Term> term_ {0};
     std::map<LogIndex, Proposal> proposals_;
     std::map<std::uint64_t, std::function<void(bool)>> reads_;
-    std::uint64_t nextRead_ = 1;
+    std::uint64_t nextReadId_ = 1;
     Term leadingTerm_ = 0;
     TimePoint leadingSince_ {};
     std::map<VmName, Lease> leases_;
-    LogIndex leaderProposal_ = 0;
-    LogIndex lastSnapshot_ = 0;
-    RaftSnapshot newSnapshot_;
+    LogIndex leaderProposalIndex_ = 0;
+    LogIndex lastSnapshotIndex_ = 0;
+    RaftSnapshot pendingSnapshot_;
 };
 
 } // namespace cardamompost
--- a/src/daemon/cp_control_times.hpp
+++ b/src/daemon/cp_control_times.hpp
@@ -7,7 +7,7 @@
 {
 
 //! How often a VM renews its lease.
-inline constexpr Milliseconds leaseRenewal {300};
+inline constexpr Milliseconds leaseRenewalInterval {300};
 
 //! Duration of a lease at its holder, counted from when the renewal was sent.
 inline constexpr Milliseconds leaseDuration {1200};
@@ -16,8 +16,8 @@
 //! margin over leaseDuration tolerates clock drift.
 inline constexpr Milliseconds leaseExpiry {1500};
 
-//! Longest time that an entry serves requests without contact with the leader. Longer than a leader election, shorter
-//! than the time within which a configuration takes effect on every VM.
+//! Longest time that a VM authorizes callers without contact with the leader. Longer than a leader election, shorter
+//! than the time within which a new configuration must take effect on every VM.
 inline constexpr Milliseconds maxConfigurationStaleness {5000};
 
 } // namespace cardamompost
--- a/tests/daemon/cp_control_replica.tests.cpp
+++ b/tests/daemon/cp_control_replica.tests.cpp
@@ -7,13 +7,13 @@
 namespace
 {
 
-LogEntry changeEntry(LogIndex index, std::uint64_t base)
+LogEntry changeEntry(LogIndex index, std::uint64_t baseVersion)
 {
     ConfigurationChange change;
-    change.requestId = "request-" + std::to_string(base);
-    change.baseVersion = base;
+    change.requestId = "request-" + std::to_string(baseVersion);
+    change.baseVersion = baseVersion;
     change.delta.upserts
-        = {{"class c" + std::to_string(base), "", "[class c" + std::to_string(base) + "]\nrank = 1\n"}};
+        = {{"class c" + std::to_string(baseVersion), "", "[class c" + std::to_string(baseVersion) + "]\nrank = 1\n"}};
     return {index, 1, EntryKind::Command, encodeCommand(change)};
 }
 
@@ -25,8 +25,8 @@
 {
     ControlReplica replica(4);
     replica.apply({{1, 1, EntryKind::Barrier, {}}, changeEntry(2, 0)});
-    const std::map<LogIndex, ApplyResult> again = replica.apply({changeEntry(2, 0), changeEntry(3, 1)});
-    BOOST_TEST(again.size() == 1U);
+    const std::map<LogIndex, ApplyResult> results = replica.apply({changeEntry(2, 0), changeEntry(3, 1)});
+    BOOST_TEST(results.size() == 1U);
     BOOST_TEST(replica.view()->index == 3U);
     BOOST_TEST(replica.view()->state.configurationVersion() == 2U);
     BOOST_TEST(replica.view()->configuration.findClass("c1") != nullptr);
@@ -57,8 +57,8 @@
     BOOST_TEST(behind.view()->state.encode() == ahead.view()->state.encode());
     ControlReplica restored(4);
     BOOST_TEST(restored.restore(ahead.view()->index, ahead.view()->state.encode()).has_value());
-    const PullReply state = restored.changesAfter(7);
-    BOOST_TEST(state.snapshotIndex == 500U);
+    const PullReply snapshot = restored.changesAfter(7);
+    BOOST_TEST(snapshot.snapshotIndex == 500U);
     BOOST_TEST(restored.changesAfter(500).entries.empty());
 }
 
