--- a/src/daemon/cp_call_service.cpp
+++ b/src/daemon/cp_call_service.cpp
@@ -122,7 +122,7 @@
 void CallService::checkHold(const ApiRequest &request, const Sink &sink)
 {
     const PartitionId partition = parts_.table.partitionOf(request.program);
-    const Result<bool> isGone = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<bool> {
+    const Result<bool> isGone = parts_.table.withSlot(partition, [&](PartitionSlot &slot) -> Result<bool> {
         const OwnedProgram *owned = slot.find(request.program);
         return owned == nullptr || owned->program.hasEnded();
     });
@@ -136,7 +136,7 @@
 asio::awaitable<void> CallService::readProgram(ApiRequest request, Sink sink)
 {
     const PartitionId partition = parts_.table.partitionOf(request.program);
-    Result<PendingAnswer> read = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<PendingAnswer> {
+    Result<PendingAnswer> read = parts_.table.withSlot(partition, [&](PartitionSlot &slot) -> Result<PendingAnswer> {
         BOOST_OUTCOME_TRY(const OwnedProgram *owned, findOwnedProgram(slot, request));
         PendingAnswer pending {slot.writer->epoch(), slot.writer->lastIndex(), programBody(owned->program)};
         if (request.operation == ApiOperation::GetHistory) {
@@ -222,7 +222,7 @@
         sink(errorChunk(programRequest.error()));
         co_return;
     }
-    Result<PendingAnswer> pending = parts_.table.tryWith(
+    Result<PendingAnswer> pending = parts_.table.withSlot(
         partition, [&](PartitionSlot &slot) { return createLocked(slot, request, programRequest.value()); });
     if (!pending) {
         sink(answerError(pending.error()));
@@ -245,7 +245,7 @@
     bool isOpen = true;
     while (isOpen) {
         std::vector<std::shared_ptr<LiveCall>> open;
-        const Result<void> tried = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<void> {
+        const Result<void> tried = parts_.table.withSlot(partition, [&](PartitionSlot &slot) -> Result<void> {
             BOOST_OUTCOME_TRY(OwnedProgram * owned, findOwnedProgram(slot, request));
             owned->isEnding = true;
             isOpen = owned->program.firstOpenCall().has_value();
@@ -289,7 +289,7 @@
 {
     const PartitionId partition = parts_.table.partitionOf(request.program);
     Epoch epoch = 0;
-    const Result<FoundCall> found = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<FoundCall> {
+    const Result<FoundCall> found = parts_.table.withSlot(partition, [&](PartitionSlot &slot) -> Result<FoundCall> {
         BOOST_OUTCOME_TRY(OwnedProgram * owned, findOwnedProgram(slot, request));
         epoch = slot.writer->epoch();
         if (owned->program.findCall(request.sequence) == nullptr) {
--- a/src/daemon/cp_call_submit.cpp
+++ b/src/daemon/cp_call_submit.cpp
@@ -221,7 +221,7 @@
     LogIndex index = 0;
     // Without ownership nothing is written, and the request is forwarded to the new owner.
     [[maybe_unused]] const Result<void> tried
-        = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<void> {
+        = parts_.table.withSlot(partition, [&](PartitionSlot &slot) -> Result<void> {
               if (slot.find(request.program) != nullptr) {
                   epoch = slot.writer->epoch();
                   const CallRefused refused {request.idempotencyKey, std::string(answerFor(error.kind).name),
@@ -259,7 +259,7 @@
         sink(errorChunk(makeError(ErrorKind::NotFound, "there is no model '" + modelName + "'")));
         co_return;
     }
-    const Result<FoundCall> found = parts_.table.tryWith(partition, [&](PartitionSlot &slot) {
+    const Result<FoundCall> found = parts_.table.withSlot(partition, [&](PartitionSlot &slot) {
         return request.operation == ApiOperation::SingleCall
             ? submitSingleLocked(slot, request, call.value(), *deployment)
             : submitLocked(slot, request, call.value());
--- a/src/daemon/cp_caller_limits.cpp
+++ b/src/daemon/cp_caller_limits.cpp
@@ -51,7 +51,7 @@
     if (caller == nullptr) {
         return makeError(ErrorKind::NotFound, "the caller is not declared");
     }
-    const Result<Epoch> epoch = table_.tryWith(
+    const Result<Epoch> epoch = table_.withSlot(
         partitionOf(request.caller), [](PartitionSlot &slot) -> Result<Epoch> { return slot.writer->epoch(); });
     if (!epoch) {
         return epoch.error();
--- a/src/daemon/cp_daemon.cpp
+++ b/src/daemon/cp_daemon.cpp
@@ -25,13 +25,13 @@
 
 constexpr Milliseconds pullPollInterval {5};
 constexpr Milliseconds shutdownPollInterval {20};
-constexpr Milliseconds handoverLimit {10'000};
-constexpr Milliseconds drainLimit {600'000};
+constexpr Milliseconds maxHandoverTime {10'000};
+constexpr Milliseconds maxDrainTime {600'000};
 constexpr Milliseconds leaveTimeout {3000};
 constexpr Milliseconds probeTimeout {500};
 constexpr Milliseconds probeInterval {200};
 
-double processSeconds()
+double processCpuSeconds()
 {
     rusage usage {};
     ::getrusage(RUSAGE_SELF, &usage);
@@ -43,10 +43,10 @@
 
 double residentBytes()
 {
-    std::ifstream pages("/proc/self/statm");
+    std::ifstream statm("/proc/self/statm");
     double total = 0;
     double resident = 0;
-    pages >> total >> resident;
+    statm >> total >> resident;
     return resident * static_cast<double>(::sysconf(_SC_PAGESIZE));
 }
 
@@ -70,23 +70,23 @@
     disk_ = std::make_unique<DiskThread>(std::move(files), log_, metrics_);
     BOOST_OUTCOME_TRYV(disk_->open());
     keeper_ = std::make_unique<KeeperService>(*disk_);
-    runner_ = std::make_shared<ControlRunner>(
+    controlRunner_ = std::make_shared<ControlRunner>(
         io_.get_executor(), ControlRunner::Parts {settings_, replica_, *disk_, *hub_, log_, metrics_});
     return boost::outcome_v2::success();
 }
 
-Result<void> Daemon::startKeeper(std::optional<Term> replacedAtTerm)
+Result<void> Daemon::startKeeper(std::optional<Term> replacementTerm)
 {
-    if (replacedAtTerm) {
+    if (replacementTerm) {
         LogBatch batch;
-        batch.putHardState(controlGroup, {*replacedAtTerm, std::string(unknownVotedFor)});
+        batch.putHardState(controlGroup, {*replacementTerm, std::string(unknownVotedFor)});
         keeper_->markReplaced(batch);
         BOOST_OUTCOME_TRYV(disk_->store().write(batch));
-        log_.warn("keeper.disk_replaced", {{"term", *replacedAtTerm}});
+        log_.warn("keeper.disk_replaced", {{"term", *replacementTerm}});
     }
-    BOOST_OUTCOME_TRYV(runner_->load());
+    BOOST_OUTCOME_TRYV(controlRunner_->load());
     disk_->start();
-    runner_->start();
+    controlRunner_->start();
     if (keeper_->needsPromises()) {
         asio::co_spawn(asio::make_strand(io_.get_executor()), restorePromises(), asio::detached);
     }
@@ -114,9 +114,9 @@
                 answers[keeper.name] = *answer;
             }
         }
-        const bool isFormed
+        const bool isSystemFormed
             = std::any_of(answers.begin(), answers.end(), [](const auto &item) { return item.second.isFormed; });
-        if (isFormed && answers.size() >= std::min(needed, others)) {
+        if (isSystemFormed && answers.size() >= std::min(needed, others)) {
             Term highest = 0;
             for (const auto &[name, answer] : answers) {
                 highest = std::max(highest, answer.term);
@@ -169,9 +169,9 @@
     if (settings_.isKeeper) {
         BOOST_OUTCOME_TRYV(openKeeper());
     }
-    control_ = std::make_unique<ControlClient>(executor,
-                                               ControlClient::Parts {settings_, replica_, *hub_, log_, runner_.get()},
-                                               [this] { return table_->countPrograms(); });
+    control_ = std::make_unique<ControlClient>(
+        executor, ControlClient::Parts {settings_, replica_, *hub_, log_, controlRunner_.get()},
+        [this] { return table_->countPrograms(); });
     table_ = std::make_unique<PartitionTable>(
         executor, PartitionTable::Parts {settings_, replica_, *control_, *hub_, keeper_.get(), log_, metrics_});
     dispatcher_
@@ -179,24 +179,25 @@
     callRunner_ = std::make_unique<CallRunner>(
         executor,
         CallRunner::Parts {settings_, replica_, *control_, *table_, *dispatcher_, engines_, http_, log_, metrics_});
-    service_ = std::make_unique<CallService>(executor,
-                                             CallService::Parts {replica_, *table_, *callRunner_, *dispatcher_, log_});
-    router_ = std::make_unique<Router>(Router::Parts {settings_, replica_, *hub_, *service_, *table_, log_, metrics_});
+    callService_ = std::make_unique<CallService>(
+        executor, CallService::Parts {replica_, *table_, *callRunner_, *dispatcher_, log_});
+    router_
+        = std::make_unique<Router>(Router::Parts {settings_, replica_, *hub_, *callService_, *table_, log_, metrics_});
     sweeper_ = std::make_unique<HoldSweeper>(
         executor, HoldSweeper::Parts {settings_, replica_, *router_, engines_, log_, metrics_});
     grantor_ = std::make_unique<LimitGrantor>(replica_, *table_);
     admission_
         = std::make_unique<CallerAdmission>(CallerAdmission::Parts {settings_, replica_, *hub_, *grantor_, metrics_});
-    operators_ = std::make_unique<OperatorApi>(
+    operatorApi_ = std::make_unique<OperatorApi>(
         OperatorApi::Parts {settings_, replica_, *control_, *table_, *dispatcher_, log_});
-    api_ = std::make_unique<ApiServer>(
-        executor,
-        ApiServer::Parts {settings_, replica_, *control_, *router_, *admission_, *table_, *operators_, log_, metrics_});
-    peers_ = std::make_unique<PeerServer>(executor, tls_, traffic_,
-                                          [this](FrameBody body, Milliseconds, std::shared_ptr<PeerReplier> replier) {
-                                              onPeerRequest(std::move(body), std::move(replier));
-                                          });
-    metrics_.gauge("cardamompost_process_cpu_seconds", {}, processSeconds);
+    api_ = std::make_unique<ApiServer>(executor,
+                                       ApiServer::Parts {settings_, replica_, *control_, *router_, *admission_, *table_,
+                                                         *operatorApi_, log_, metrics_});
+    peerServer_ = std::make_unique<PeerServer>(
+        executor, tls_, traffic_, [this](FrameBody body, Milliseconds, std::shared_ptr<PeerReplier> replier) {
+            onPeerRequest(std::move(body), std::move(replier));
+        });
+    metrics_.gauge("cardamompost_process_cpu_seconds", {}, processCpuSeconds);
     metrics_.gauge("cardamompost_peer_bytes_sent", {}, [this] { return static_cast<double>(traffic_.sent); });
     metrics_.gauge("cardamompost_peer_bytes_received", {}, [this] { return static_cast<double>(traffic_.received); });
     metrics_.gauge("cardamompost_resident_bytes", {}, residentBytes);
@@ -207,17 +208,17 @@
         hub_->update(*view);
         table_->reconcile(*view);
     });
-    BOOST_OUTCOME_TRYV(peers_->listen(settings_.peer));
+    BOOST_OUTCOME_TRYV(peerServer_->listen(settings_.peer));
     BOOST_OUTCOME_TRYV(api_->start());
-    if (runner_ && disk_->store().isEmpty()) {
+    if (controlRunner_ && disk_->store().isEmpty()) {
         asio::co_spawn(asio::make_strand(executor), startEmptyKeeper(), asio::detached);
-    } else if (runner_) {
+    } else if (controlRunner_) {
         BOOST_OUTCOME_TRYV(startKeeper(std::nullopt));
     }
     table_->start([this](PartitionId partition, Epoch epoch) { callRunner_->resumePartition(partition, epoch); });
     control_->start();
     dispatcher_->start();
-    service_->start();
+    callService_->start();
     sweeper_->start();
     awaitSignals();
     log_.info("daemon.started",
@@ -244,8 +245,8 @@
 void Daemon::onPeerRequest(FrameBody body, std::shared_ptr<PeerReplier> replier)
 {
     if (auto *raft = std::get_if<RaftMessage>(&body)) {
-        if (runner_) {
-            runner_->onRaft(std::move(*raft));
+        if (controlRunner_) {
+            controlRunner_->onRaft(std::move(*raft));
         }
         return;
     }
@@ -253,7 +254,7 @@
         return;
     }
     if (auto *api = std::get_if<ApiRequest>(&body)) {
-        service_->handle(std::move(*api), [replier](Result<ApiChunk> chunk) {
+        callService_->handle(std::move(*api), [replier](Result<ApiChunk> chunk) {
             if (chunk) {
                 const bool isLast = chunk.value().isLast;
                 replier->reply(std::move(chunk.value()), isLast);
@@ -268,7 +269,7 @@
         replier->reply(granted ? FrameBody(granted.value()) : FrameBody(FailureReply {granted.error()}));
         return;
     }
-    if (runner_) {
+    if (controlRunner_) {
         onKeeperRequest(std::move(body), std::move(replier));
     } else {
         replier->reply(FailureReply {makeError(ErrorKind::NotLeader, "this VM is not a keeper")});
@@ -278,14 +279,14 @@
 void Daemon::onKeeperRequest(FrameBody body, std::shared_ptr<PeerReplier> replier)
 {
     if (auto *lease = std::get_if<LeaseRequest>(&body)) {
-        runner_->onLease(std::move(*lease), [replier](LeaseReply reply) { replier->reply(std::move(reply)); });
+        controlRunner_->onLease(std::move(*lease), [replier](LeaseReply reply) { replier->reply(std::move(reply)); });
     } else if (auto *propose = std::get_if<ProposeRequest>(&body)) {
-        runner_->onPropose(std::move(propose->command),
-                           [replier](ProposeReply reply) { replier->reply(std::move(reply)); });
+        controlRunner_->onPropose(std::move(propose->command),
+                                  [replier](ProposeReply reply) { replier->reply(std::move(reply)); });
     } else if (std::holds_alternative<ProbeRequest>(body)) {
-        replier->reply(ProbeReply {runner_->isFormed(), runner_->term()});
+        replier->reply(ProbeReply {controlRunner_->isFormed(), controlRunner_->term()});
     } else if (std::holds_alternative<StatusRequest>(body)) {
-        runner_->onStatus([replier](StatusReply reply) { replier->reply(std::move(reply)); });
+        controlRunner_->onStatus([replier](StatusReply reply) { replier->reply(std::move(reply)); });
     } else if (const auto *pull = std::get_if<PullRequest>(&body)) {
         answerPull(*pull, std::move(replier));
     } else {
@@ -297,13 +298,13 @@
 
 void Daemon::answerPull(const PullRequest &request, std::shared_ptr<PeerReplier> replier)
 {
-    auto wait = [](Daemon &daemon, PullRequest asked, std::shared_ptr<PeerReplier> to) -> asio::awaitable<void> {
-        const TimePoint deadline = std::chrono::steady_clock::now() + Milliseconds(asked.waitMs);
-        while (daemon.replica_.view()->index <= asked.afterIndex && std::chrono::steady_clock::now() < deadline
+    auto wait = [](Daemon &daemon, PullRequest pull, std::shared_ptr<PeerReplier> to) -> asio::awaitable<void> {
+        const TimePoint deadline = std::chrono::steady_clock::now() + Milliseconds(pull.waitMs);
+        while (daemon.replica_.view()->index <= pull.afterIndex && std::chrono::steady_clock::now() < deadline
                && !to->isCancelled()) {
             co_await sleepFor(pullPollInterval);
         }
-        to->reply(daemon.replica_.changesAfter(asked.afterIndex));
+        to->reply(daemon.replica_.changesAfter(pull.afterIndex));
     };
     asio::co_spawn(asio::make_strand(io_.get_executor()), wait(*this, request, std::move(replier)), asio::detached);
 }
@@ -338,13 +339,13 @@
         const Result<ApplyResult> left = co_await control_->propose(std::move(command), leaveTimeout);
         log_.info("daemon.left", {{"accepted", left.has_value()}});
     }
-    while (table_->countOwned() > 0 && now() - startedAt < handoverLimit) {
+    while (table_->countOwned() > 0 && now() - startedAt < maxHandoverTime) {
         co_await sleepFor(shutdownPollInterval);
     }
     // Clients cache the directory for its TTL and may still connect to this VM until then.
     const TimePoint directoryExpiry = startedAt + Milliseconds(settings_.directoryTtlMs);
     while (now() < directoryExpiry
-           || ((api_->active() > 0 || callRunner_->running() > 0) && now() - startedAt < drainLimit)) {
+           || ((api_->active() > 0 || callRunner_->running() > 0) && now() - startedAt < maxDrainTime)) {
         co_await sleepFor(shutdownPollInterval);
     }
     api_->stopAccepting();
--- a/src/daemon/cp_daemon.hpp
+++ b/src/daemon/cp_daemon.hpp
@@ -22,15 +22,15 @@
     Daemon(const Daemon &) = delete;
     Daemon &operator=(const Daemon &) = delete;
 
-    //! Opens the store and the ports. Errors: InvalidConfiguration, StorageFailed, StorageCorrupt.
+    //! Opens the store and the ports and starts all roles. Errors: InvalidConfiguration, StorageFailed, StorageCorrupt.
     Result<void> start();
     //! Runs until the process is signalled and has drained its requests. \returns the exit code
     int run();
 
 private:
     Result<void> openKeeper();
-    //! \param replacedAtTerm  if the disk replaces a lost one, the lowest term in which its member may take part
-    Result<void> startKeeper(std::optional<Term> replacedAtTerm);
+    //! \param replacementTerm  if the disk replaces a lost one, the lowest term in which its Raft member may take part
+    Result<void> startKeeper(std::optional<Term> replacementTerm);
     boost::asio::awaitable<void> startEmptyKeeper();
     boost::asio::awaitable<std::optional<Term>> findReplacementTerm();
     boost::asio::awaitable<void> restorePromises();
@@ -53,19 +53,19 @@
     std::unique_ptr<PeerHub> hub_;
     std::unique_ptr<DiskThread> disk_;
     std::unique_ptr<KeeperService> keeper_;
-    std::shared_ptr<ControlRunner> runner_;
+    std::shared_ptr<ControlRunner> controlRunner_;
     std::unique_ptr<ControlClient> control_;
     std::unique_ptr<PartitionTable> table_;
     std::unique_ptr<Dispatcher> dispatcher_;
     std::unique_ptr<CallRunner> callRunner_;
-    std::unique_ptr<CallService> service_;
+    std::unique_ptr<CallService> callService_;
     std::unique_ptr<Router> router_;
     std::unique_ptr<HoldSweeper> sweeper_;
     std::unique_ptr<LimitGrantor> grantor_;
     std::unique_ptr<CallerAdmission> admission_;
-    std::unique_ptr<OperatorApi> operators_;
+    std::unique_ptr<OperatorApi> operatorApi_;
     std::unique_ptr<ApiServer> api_;
-    std::unique_ptr<PeerServer> peers_;
+    std::unique_ptr<PeerServer> peerServer_;
     bool isShuttingDown_ = false;
 };
 
--- a/src/daemon/cp_disk_thread.cpp
+++ b/src/daemon/cp_disk_thread.cpp
@@ -83,8 +83,8 @@
     std::vector<Job> jobs;
     std::set<GroupId> groups;
     std::deque<Job> later;
-    // At most one job per group and batch, so that each job sees the writes of the one before. Otherwise a seal could
-    // miss an append that is confirmed in the same sync.
+    // At most one job per group and batch, so that a job sees the writes of its group's earlier jobs. Otherwise a seal
+    // could miss an append that is confirmed in the same sync.
     while (!queue_.empty() && jobs.size() < maxBatchJobs) {
         auto &target = groups.insert(queue_.front().group).second ? jobs.emplace_back() : later.emplace_back();
         target = std::move(queue_.front());
--- a/src/daemon/cp_disk_thread.hpp
+++ b/src/daemon/cp_disk_thread.hpp
@@ -46,7 +46,7 @@
     void stop();
     //! Thread-safe.
     void post(Job job);
-    //! False once the disk has failed; the store must not be served from then on.
+    //! False once the disk has failed; from then on, no request may be answered from the store.
     [[nodiscard]] bool isHealthy() const
     {
         return isHealthy_;
--- a/src/daemon/cp_hold_sweeper.cpp
+++ b/src/daemon/cp_hold_sweeper.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr Milliseconds sweepInterval {5000};
-// Limit per replica; the remaining programs are checked in later sweeps.
+// Limit per replica.
 constexpr std::size_t maxChecksPerSweep = 64;
 
 } // namespace
@@ -79,8 +79,8 @@
         if (!previous.contains(program) || ++checks > maxChecksPerSweep) {
             continue;
         }
-        const bool isOrphaned = co_await isGone(program);
-        if (!isOrphaned) {
+        const bool isGone = co_await checkGone(program);
+        if (!isGone) {
             continue;
         }
         const bool isReleased = co_await parts_.engines.release(replica, program);
@@ -91,13 +91,14 @@
     }
 }
 
-asio::awaitable<bool> HoldSweeper::isGone(ProgramId program)
+asio::awaitable<bool> HoldSweeper::checkGone(ProgramId program)
 {
     ApiRequest request;
     request.operation = ApiOperation::CheckHold;
     request.program = std::move(program);
     bool isGone = false;
-    // Only the owner can confirm that a program has ended; without a reply, the entry stays until the next sweep.
+    // Only the owner can confirm that a program has ended or does not exist. Without its reply, the engine keeps the
+    // program's cache entries.
     Router::Deliver deliver = [&isGone](ApiChunk chunk) -> asio::awaitable<bool> {
         isGone = isGone || chunk.body == R"({"gone":true})";
         co_return true;
--- a/src/daemon/cp_hold_sweeper.hpp
+++ b/src/daemon/cp_hold_sweeper.hpp
@@ -31,7 +31,7 @@
 private:
     boost::asio::awaitable<void> run();
     boost::asio::awaitable<void> sweep(Replica replica);
-    boost::asio::awaitable<bool> isGone(ProgramId program);
+    boost::asio::awaitable<bool> checkGone(ProgramId program);
     [[nodiscard]] bool isResponsibleFor(const ControlView &view, const Replica &replica) const;
 
     boost::asio::any_io_executor executor_;
--- a/src/daemon/cp_partition_handover.cpp
+++ b/src/daemon/cp_partition_handover.cpp
@@ -68,16 +68,16 @@
     // Moves take effect through the control log. A partition whose move has not been applied by now accepts calls
     // again; if the move is applied later, the new owner recovers those calls from the journal.
     co_await sleepFor(handoverSettleTime);
-    std::vector<PartitionMove> kept;
+    std::vector<PartitionMove> unappliedMoves;
     for (const PartitionMove &move : moves) {
         PartitionSlot &target = slot(move.partition);
         const std::lock_guard lock(target.mutex);
         if (target.writer && target.writer->epoch() == move.expectedEpoch) {
             target.isHandingOver = false;
-            kept.push_back(move);
+            unappliedMoves.push_back(move);
         }
     }
-    for (const PartitionMove &move : kept) {
+    for (const PartitionMove &move : unappliedMoves) {
         onReady_(move.partition, move.expectedEpoch);
     }
     isHandingOver_ = false;
--- a/src/daemon/cp_partition_table.cpp
+++ b/src/daemon/cp_partition_table.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr Milliseconds tickInterval {25};
-constexpr Milliseconds countInterval {1000};
+constexpr Milliseconds recountInterval {1000};
 constexpr Milliseconds keeperTimeout {1000};
 constexpr Milliseconds handoverInterval {200};
 
@@ -97,8 +97,8 @@
         // Re-inserts the partition into the set while its writer is not idle.
         pump(partition);
     }
-    if (now >= nextCount_) {
-        nextCount_ = now + countInterval;
+    if (now >= nextRecount_) {
+        nextRecount_ = now + recountInterval;
         recountPrograms();
     }
     if (now >= nextHandover_) {
@@ -114,7 +114,7 @@
         const std::lock_guard lock(slot->mutex);
         programs += static_cast<std::uint32_t>(slot->programs.size());
     }
-    programs_ = programs;
+    programCount_ = programs;
 }
 
 void PartitionTable::reconcile(const ControlView &view)
@@ -181,7 +181,7 @@
 std::vector<std::function<void()>> PartitionTable::close(PartitionSlot &slot)
 {
     std::vector<std::function<void()>> callbacks;
-    for (auto &[index, waiters] : slot.waiters) {
+    for (auto &[index, waiters] : slot.commitWaiters) {
         for (auto &waiter : waiters) {
             callbacks.emplace_back([waiter = std::move(waiter)] { waiter(false); });
         }
@@ -191,7 +191,7 @@
             callbacks.emplace_back([live = live] { live->move(); });
         }
     }
-    slot.waiters.clear();
+    slot.commitWaiters.clear();
     slot.programs.clear();
     slot.writer.reset();
     slot.isReady = false;
@@ -251,11 +251,11 @@
 std::vector<std::function<void()>> PartitionTable::takeCommitted(PartitionSlot &slot)
 {
     std::vector<std::function<void()>> callbacks;
-    while (!slot.waiters.empty() && slot.waiters.begin()->first <= slot.writer->commitIndex()) {
-        for (auto &waiter : slot.waiters.begin()->second) {
+    while (!slot.commitWaiters.empty() && slot.commitWaiters.begin()->first <= slot.writer->commitIndex()) {
+        for (auto &waiter : slot.commitWaiters.begin()->second) {
             callbacks.emplace_back([waiter = std::move(waiter)] { waiter(true); });
         }
-        slot.waiters.erase(slot.waiters.begin());
+        slot.commitWaiters.erase(slot.commitWaiters.begin());
     }
     return callbacks;
 }
@@ -362,7 +362,7 @@
             const std::lock_guard lock(target.mutex);
             isLost = !target.writer || target.writer->epoch() != epoch;
             if (!isLost && target.writer->commitIndex() < index) {
-                target.waiters[index].push_back(std::move(done));
+                target.commitWaiters[index].push_back(std::move(done));
                 return;
             }
         }
--- a/src/daemon/cp_partition_table.hpp
+++ b/src/daemon/cp_partition_table.hpp
@@ -38,7 +38,8 @@
     //! A handover to another VM is in progress; no new calls are accepted.
     bool isHandingOver = false;
     std::map<ProgramId, OwnedProgram> programs;
-    std::map<LogIndex, std::vector<std::function<void(bool)>>> waiters;
+    //! Callbacks by the index whose commit they wait for; they get false if the VM loses the partition first.
+    std::map<LogIndex, std::vector<std::function<void(bool)>>> commitWaiters;
 
     OwnedProgram *find(const ProgramId &program)
     {
@@ -64,7 +65,7 @@
         EventLog &log;
         MetricRegistry &metrics;
     };
-    //! Called without a lock held when a partition is recovered and accepts calls.
+    //! Called without a lock held when a partition accepts calls, after its recovery or a handover that did not happen.
     using ReadyHandler = std::function<void(PartitionId partition, Epoch epoch)>;
 
     PartitionTable(boost::asio::any_io_executor executor, Parts parts);
@@ -77,7 +78,7 @@
     //! Runs a function on a partition that accepts calls on this VM. Errors: NotOwner, and those of the function.
     //! \param function  takes a PartitionSlot& and returns a Result
     template<typename Function>
-    auto tryWith(PartitionId partition, Function function) -> decltype(function(std::declval<PartitionSlot &>()));
+    auto withSlot(PartitionId partition, Function function) -> decltype(function(std::declval<PartitionSlot &>()));
 
     //! Runs a function on a program if this VM owns its partition in the epoch.
     //! \returns false if it does not, or if the program does not exist
@@ -97,9 +98,9 @@
     [[nodiscard]] PartitionId partitionOf(const ProgramId &program) const;
     [[nodiscard]] std::uint32_t countPrograms() const
     {
-        return programs_;
+        return programCount_;
     }
-    [[nodiscard]] std::size_t count() const
+    [[nodiscard]] std::size_t partitionCount() const
     {
         return slots_.size();
     }
@@ -134,11 +135,11 @@
     std::mutex bootMutex_;
     std::map<VmName, std::uint64_t> bootIds_;
     boost::asio::steady_timer timer_;
-    std::atomic<std::uint32_t> programs_ {0};
+    std::atomic<std::uint32_t> programCount_ {0};
     std::atomic<bool> isStopped_ {false};
     std::atomic<bool> isHandingOver_ {false};
     TimePoint nextHandover_ {};
-    TimePoint nextCount_ {};
+    TimePoint nextRecount_ {};
     //! Partitions whose journal writer is not idle; the tick skips the others. The mutex is locked after a slot's.
     std::mutex activeMutex_;
     std::set<PartitionId> activePartitions_;
@@ -148,7 +149,7 @@
 };
 
 template<typename Function>
-auto PartitionTable::tryWith(PartitionId partition, Function function)
+auto PartitionTable::withSlot(PartitionId partition, Function function)
     -> decltype(function(std::declval<PartitionSlot &>()))
 {
     auto run = [&]() -> decltype(function(std::declval<PartitionSlot &>())) {
--- a/src/daemon/cp_program_sweep.cpp
+++ b/src/daemon/cp_program_sweep.cpp
@@ -25,7 +25,7 @@
 asio::awaitable<void> CallService::sweep()
 {
     while (!isStopped_) {
-        for (PartitionId partition = 0; partition < parts_.table.count(); ++partition) {
+        for (PartitionId partition = 0; partition < parts_.table.partitionCount(); ++partition) {
             sweepPartition(partition);
         }
         co_await sleepFor(sweepInterval);
