--- a/src/daemon/cp_api_server.cpp
+++ b/src/daemon/cp_api_server.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr std::size_t maxKeyLength = 256;
+constexpr std::size_t maxKeyBytes = 256;
 constexpr int maxIdAttempts = 1'000'000;
 
 //! Counts a request as active during its scope.
@@ -41,12 +41,12 @@
 
 Error unknownRoute(const HttpRequest &request)
 {
-    return makeError(ErrorKind::NotFound, request.method + " " + request.path + " is not offered");
+    return makeError(ErrorKind::NotFound, request.method + " " + request.path + " is not supported");
 }
 
 Error methodNotAllowed(const HttpRequest &request)
 {
-    return makeError(ErrorKind::MethodNotAllowed, request.method + " is not offered at " + request.path);
+    return makeError(ErrorKind::MethodNotAllowed, request.method + " is not supported at " + request.path);
 }
 
 template<typename Number>
@@ -117,8 +117,8 @@
 
 asio::awaitable<void> ApiServer::route(HttpRequest &request, IHttpResponder &responder)
 {
-    if (std::optional<HttpResponse> open = publicRoute(request)) {
-        co_await responder.respond(std::move(*open));
+    if (std::optional<HttpResponse> publicResponse = publicRoute(request)) {
+        co_await responder.respond(std::move(*publicResponse));
         co_return;
     }
     if (request.path.starts_with("/v1/operator/")) {
@@ -241,7 +241,7 @@
         co_return;
     }
     if (!admitted) {
-        // The owner records the refusal under the idempotency key, or answers with a call it accepted under it before.
+        // The owner records the refusal under the idempotency key, or returns the call accepted under this key before.
         request.refusal = admitted.error();
     }
     co_await forward(std::move(request), responder);
@@ -263,9 +263,9 @@
     api.caller = caller.name;
     api.idempotencyKey = std::string(request.header("Idempotency-Key"));
     api.body = request.body;
-    if (api.idempotencyKey.size() > maxKeyLength || !isCleanUtf8(api.idempotencyKey)) {
+    if (api.idempotencyKey.size() > maxKeyBytes || !isCleanUtf8(api.idempotencyKey)) {
         return makeError(ErrorKind::InvalidRequest,
-                         fmt::format("'Idempotency-Key' must be valid UTF-8 text of at most {} bytes", maxKeyLength));
+                         fmt::format("'Idempotency-Key' must be valid UTF-8 text of at most {} bytes", maxKeyBytes));
     }
     if (!isCleanUtf8(request.body)) {
         return makeError(ErrorKind::InvalidRequest, "the body is not valid UTF-8 text");
--- a/src/daemon/cp_call_runner.cpp
+++ b/src/daemon/cp_call_runner.cpp
@@ -93,8 +93,9 @@
         task->hasInheritedAttempt = !call.attempts.empty();
         task->history = historyMessages(owned.program, *sequence);
         task->historyTokens = owned.program.historyTokens();
-        const OwnedProgram *root = slot.find(task->created.parent);
-        task->attainedTokens = owned.program.attainedTokens() + (root == nullptr ? 0 : root->program.attainedTokens());
+        const OwnedProgram *parent = slot.find(task->created.parent);
+        task->attainedTokens
+            = owned.program.attainedTokens() + (parent == nullptr ? 0 : parent->program.attainedTokens());
         task->warmReplica = owned.program.lastBackend();
         task->startedAt = std::chrono::steady_clock::now();
     });
@@ -297,7 +298,7 @@
 
 asio::awaitable<void> CallRunner::release(PartitionId partition, Epoch epoch, ProgramId program)
 {
-    Milliseconds pause = minReleaseBackoff;
+    Milliseconds backoff = minReleaseBackoff;
     while (true) {
         std::set<std::string> unreleased;
         const bool isOwned
@@ -320,8 +321,8 @@
                 });
             }
         }
-        co_await sleepFor(pause);
-        pause = std::min(pause * 2, maxReleaseBackoff);
+        co_await sleepFor(backoff);
+        backoff = std::min(backoff * 2, maxReleaseBackoff);
     }
 }
 
--- a/src/daemon/cp_call_runner.hpp
+++ b/src/daemon/cp_call_runner.hpp
@@ -37,7 +37,7 @@
     void startNext(PartitionId partition, Epoch epoch, const ProgramId &program);
     //! Resumes open calls and pending releases of a partition's previous owner.
     void resumePartition(PartitionId partition, Epoch epoch);
-    //! Releases an ended program on its replicas, with retries until each has confirmed.
+    //! Starts releasing a program's cache entries on its replicas, with retries until each has confirmed.
     void startRelease(PartitionId partition, Epoch epoch, const ProgramId &program);
     //! Number of calls in progress on this VM.
     [[nodiscard]] int running() const
@@ -46,7 +46,7 @@
     }
 
 private:
-    //! State of one run. Copied from the program once, since only the runner modifies an open call.
+    //! State of one run. It is copied from the program once, which is safe since only the runner modifies an open call.
     struct Task {
         PartitionId partition = 0;
         Epoch epoch = 0;
--- a/src/daemon/cp_call_runner_model.cpp
+++ b/src/daemon/cp_call_runner_model.cpp
@@ -111,16 +111,16 @@
         }
         acquiredReplica = std::move(acquired.value());
         replica = acquiredReplica->replica;
-        const auto number = static_cast<std::uint32_t>(task.attempts.size() + 1);
-        const std::uint64_t kept = task.live->position();
-        const std::uint32_t root = kept == 0 ? number : task.attempts.back().rootAttempt;
+        const auto attemptNumber = static_cast<std::uint32_t>(task.attempts.size() + 1);
+        const std::uint64_t priorTokens = task.live->position();
+        const std::uint32_t rootAttempt = priorTokens == 0 ? attemptNumber : task.attempts.back().rootAttempt;
         intent = {task.sequence,
-                  number,
+                  attemptNumber,
                   replica.name,
                   task.deadlineMs,
-                  root,
-                  kept,
-                  kept == 0 ? std::string() : task.live->text()};
+                  rootAttempt,
+                  priorTokens,
+                  priorTokens == 0 ? std::string() : task.live->text()};
         const bool isWritten = co_await writeIntent(task, intent);
         if (!isWritten) {
             parts_.dispatcher.release(*acquiredReplica, false);
@@ -162,29 +162,29 @@
 
 asio::awaitable<EngineResult> CallRunner::streamAttempt(Task &task, Replica replica, CallIntent intent, bool isNew)
 {
-    const std::uint64_t base = intent.priorTokens;
+    const std::uint64_t priorTokens = intent.priorTokens;
     const std::string attempt = attemptId(task.program, intent);
     const std::shared_ptr<LiveCall> live = task.live;
     const std::int64_t deadlineMs = task.deadlineMs;
     const auto view = parts_.replica.view();
     const Deployment *deployment = view->configuration.findDeployment(task.created.deployment);
     const std::string model = deployment == nullptr ? std::string() : deployment->model;
-    const auto makeWatch = [live, base, deadlineMs] {
-        EngineClient::Watch watch;
-        watch.onToken = [live, base](std::uint64_t position, std::string text) {
-            live->addTokens(base + position, std::move(text));
+    const auto makeHandlers = [live, priorTokens, deadlineMs] {
+        EngineClient::StreamHandlers handlers;
+        handlers.onToken = [live, priorTokens](std::uint64_t position, std::string text) {
+            live->addTokens(priorTokens + position, std::move(text));
         };
-        watch.isWanted = [live, deadlineMs] { return !live->isCancelled() && wallClockMs() < deadlineMs; };
-        return watch;
+        handlers.isWanted = [live, deadlineMs] { return !live->isCancelled() && wallClockMs() < deadlineMs; };
+        return handlers;
     };
     EngineResult result;
     if (isNew) {
-        EngineClient::Watch watch = makeWatch();
+        EngineClient::StreamHandlers handlers = makeHandlers();
         json::object request = engineRequest(task, intent, model);
-        result = co_await parts_.engines.start(replica, std::move(request), timeUntil(deadlineMs), std::move(watch));
+        result = co_await parts_.engines.start(replica, std::move(request), timeUntil(deadlineMs), std::move(handlers));
     } else {
-        EngineClient::Watch watch = makeWatch();
-        result = co_await parts_.engines.resume(replica, attempt, 0, timeUntil(deadlineMs), std::move(watch));
+        EngineClient::StreamHandlers handlers = makeHandlers();
+        result = co_await parts_.engines.resume(replica, attempt, 0, timeUntil(deadlineMs), std::move(handlers));
     }
     // The engine continues to generate when a connection stalls or breaks; the rest of the answer is fetched over a new
     // connection.
@@ -192,10 +192,10 @@
          result.end == EngineEnd::Interrupted && resumes < maxResumes && timeUntil(deadlineMs).count() > 0; ++resumes) {
         co_await sleepFor(resumeDelay);
         const std::uint64_t position = live->position();
-        const std::uint64_t after = position > base ? position - base : 0;
-        EngineClient::Watch watch = makeWatch();
+        const std::uint64_t after = position > priorTokens ? position - priorTokens : 0;
+        EngineClient::StreamHandlers handlers = makeHandlers();
         EngineResult resumed
-            = co_await parts_.engines.resume(replica, attempt, after, timeUntil(deadlineMs), std::move(watch));
+            = co_await parts_.engines.resume(replica, attempt, after, timeUntil(deadlineMs), std::move(handlers));
         const bool isGone = resumed.end == EngineEnd::NotSent || resumed.end == EngineEnd::UnknownAttempt;
         result = std::move(resumed);
         result.end = isGone ? EngineEnd::Interrupted : result.end;
@@ -216,9 +216,9 @@
         ran.outcome = Outcome::Ran;
         ran.answer = task.live->text();
         ran.isCutOff = result.finishReason == "length";
-        const auto kept = static_cast<std::int64_t>(intent.priorTokens);
-        ran.promptTokens = std::max<std::int64_t>(0, result.promptTokens - kept);
-        ran.completionTokens = result.completionTokens + kept;
+        const auto priorTokens = static_cast<std::int64_t>(intent.priorTokens);
+        ran.promptTokens = std::max<std::int64_t>(0, result.promptTokens - priorTokens);
+        ran.completionTokens = result.completionTokens + priorTokens;
         ran.cachedTokens = std::min(result.cachedTokens, ran.promptTokens);
         return ran;
     }
@@ -228,15 +228,15 @@
         return failure(task, kind, isCancelled ? "the program was ended" : "the call's deadline has passed",
                        Outcome::Unknown);
     }
-    const bool wasOnlyRefused
+    const bool wasCertainlyNotRun
         = task.attempts.size() == 1 && (result.end == EngineEnd::NotSent || result.end == EngineEnd::Refused);
     return failure(task, ErrorKind::BackendFailed, fmt::format("{}: {}", intent.backend, result.message),
-                   wasOnlyRefused ? Outcome::NotRun : Outcome::Unknown);
+                   wasCertainlyNotRun ? Outcome::NotRun : Outcome::Unknown);
 }
 
 asio::awaitable<void> CallRunner::cancelUntilConfirmed(Replica replica, std::string attempt, std::int64_t deadlineMs)
 {
-    // Frees the replica's slot and memory before the deadline.
+    // Otherwise the attempt could occupy the replica's slot and memory until its deadline.
     bool isConfirmed = false;
     while (!isConfirmed && wallClockMs() < deadlineMs) {
         isConfirmed = co_await parts_.engines.cancel(replica, attempt);
--- a/src/daemon/cp_call_runner_service.cpp
+++ b/src/daemon/cp_call_runner_service.cpp
@@ -41,17 +41,18 @@
 {
     const std::vector<Address> addresses = service.addresses;
     const Milliseconds timeout = service.timeout;
-    std::string lastError = "no address could be reached";
+    std::string lastError = "the service has no addresses";
     bool mayHaveRun = !task.attempts.empty();
     for (std::size_t i = 0; i < addresses.size(); ++i) {
         const std::int64_t left = task.deadlineMs - wallClockMs();
         if (left <= 0 || task.live->isCancelled()) {
             const ErrorKind kind = left <= 0 ? ErrorKind::DeadlineExceeded : ErrorKind::Cancelled;
-            co_return failure(task, kind, "the call ended before it was sent",
+            co_return failure(task, kind, "the call was cancelled or its deadline passed before it completed",
                               mayHaveRun ? Outcome::Unknown : Outcome::NotRun);
         }
-        const auto number = static_cast<std::uint32_t>(task.attempts.size() + 1);
-        const CallIntent intent {task.sequence, number, addresses[i].toString(), task.deadlineMs, number, 0, {}};
+        const auto attemptNumber = static_cast<std::uint32_t>(task.attempts.size() + 1);
+        const CallIntent intent {
+            task.sequence, attemptNumber, addresses[i].toString(), task.deadlineMs, attemptNumber, 0, {}};
         const bool isWritten = co_await writeIntent(task, intent);
         if (!isWritten) {
             co_return std::nullopt;
@@ -70,8 +71,8 @@
         if (answer && (!isServerError || !task.accepted.isIdempotent)) {
             CallResult ran;
             ran.sequence = task.sequence;
-            ran.attempt = number;
-            ran.rootAttempt = number;
+            ran.attempt = attemptNumber;
+            ran.rootAttempt = attemptNumber;
             ran.status = static_cast<std::uint16_t>(answer.value().status);
             ran.answer = answer.value().body;
             co_return ran;
@@ -80,7 +81,7 @@
                            : answer.error().message;
         const bool isNotSent = !answer && answer.error().outcome == Outcome::NotRun;
         mayHaveRun = mayHaveRun || !isNotSent;
-        // A request that is not idempotent is sent to the next address only if it was certainly not sent.
+        // A request that is not idempotent is sent to the next address only if it was certainly not sent to this one.
         const bool canTryNextAddress
             = isNotSent || (task.accepted.isIdempotent && tryRetry("service " + request.service));
         if (!canTryNextAddress) {
--- a/src/daemon/cp_call_service.cpp
+++ b/src/daemon/cp_call_service.cpp
@@ -244,13 +244,13 @@
     PendingAnswer pending;
     bool isOpen = true;
     while (isOpen) {
-        std::vector<std::shared_ptr<LiveCall>> open;
+        std::vector<std::shared_ptr<LiveCall>> liveCalls;
         const Result<void> tried = parts_.table.tryWith(partition, [&](PartitionSlot &slot) -> Result<void> {
             BOOST_OUTCOME_TRY(OwnedProgram * owned, findOwnedProgram(slot, request));
             owned->isEnding = true;
             isOpen = owned->program.firstOpenCall().has_value();
             for (auto &[sequence, live] : owned->live) {
-                open.push_back(live);
+                liveCalls.push_back(live);
             }
             pending.epoch = slot.writer->epoch();
             pending.index = slot.writer->lastIndex();
@@ -266,7 +266,7 @@
             co_return;
         }
         // Stops running calls at their engines; the result of each is reported in its own answer.
-        for (const auto &live : open) {
+        for (const auto &live : liveCalls) {
             live->cancel();
         }
         if (isOpen && std::chrono::steady_clock::now() > deadline) {
@@ -325,7 +325,7 @@
         found.live->watch(request.lastEventId, forward);
         return;
     }
-    // The single chunks are gone, so the whole text is sent; a caller that received a part of it restarts.
+    // The chunks are no longer available, so the whole text is sent; a caller that received a part of it restarts.
     const CallResult &result = *found.result;
     const std::uint64_t last = eventId(result.rootAttempt, static_cast<std::uint64_t>(result.completionTokens));
     if (request.lastEventId != 0 && request.lastEventId < last) {
--- a/src/daemon/cp_call_service.hpp
+++ b/src/daemon/cp_call_service.hpp
@@ -34,12 +34,13 @@
     struct FoundCall {
         AnswerContext context;
         Epoch epoch = 0;
-        //! Has to be committed before the call is answered; 0 if there is nothing to wait for.
+        //! Journal index that has to be committed before the call is answered; 0 if there is nothing to wait for.
         LogIndex index = 0;
         bool isNew = false;
         std::shared_ptr<LiveCall> live;
         std::optional<CallResult> result;
     };
+    //! An answer that is sent once its journal index is committed.
     struct PendingAnswer {
         Epoch epoch = 0;
         LogIndex index = 0;
@@ -52,6 +53,7 @@
     boost::asio::awaitable<void> submitCall(ApiRequest request, Sink sink);
     boost::asio::awaitable<void> commitRefusal(ApiRequest request, Error error, Sink sink);
     boost::asio::awaitable<void> readProgram(ApiRequest request, Sink sink);
+    //! Reports whether a program is unknown or has ended, so that engines can release its cache entries.
     void checkHold(const ApiRequest &request, const Sink &sink);
     void fetchCall(const ApiRequest &request, const Sink &sink);
     void watch(const ApiRequest &request, const FoundCall &found, const Sink &sink);
--- a/src/daemon/cp_dispatcher.cpp
+++ b/src/daemon/cp_dispatcher.cpp
@@ -25,8 +25,8 @@
 constexpr Milliseconds pollIdleTimeout {30'000};
 // Older reports are ignored; only this VM's own calls then count as load.
 constexpr Milliseconds maxReportAge {5000};
-// Maximum number of replicas per deployment that a VM uses, which bounds its polling. Chosen by rendezvous hashing, so
-// that the subsets of different VMs overlap.
+// Maximum number of replicas per deployment that a VM uses, which bounds its polling. They are chosen by rendezvous
+// hashing with the VM's name, so that VMs use different subsets.
 constexpr std::size_t subsetSize = 16;
 
 TimePoint timeNow()
@@ -136,7 +136,7 @@
     for (const Replica &replica : subsetOf(deployment)) {
         ReplicaView view {replica.name, replica.failureDomain, replica.slots};
         const auto report = reports_.find(replica.name);
-        if (report != reports_.end() && now - report->second.at < maxReportAge) {
+        if (report != reports_.end() && now - report->second.receivedAt < maxReportAge) {
             view.othersInFlight = report->second.othersInFlight;
             view.isClosed = report->second.isDraining;
         }
@@ -346,7 +346,7 @@
     }
     // The report includes this VM's own calls.
     const int others = std::max(0, number("running") + number("waiting") - own);
-    // A load report is no success for the health check: the replica may still fail calls.
+    // A load report does not count as a success in the replica's health, since the replica may still fail calls.
     reports_[replica.name] = {others, leaving != nullptr && leaving->is_bool() && leaving->as_bool(), timeNow()};
 }
 
--- a/src/daemon/cp_dispatcher.hpp
+++ b/src/daemon/cp_dispatcher.hpp
@@ -69,7 +69,7 @@
     struct LoadReport {
         int othersInFlight = 0;
         bool isDraining = false;
-        TimePoint at {};
+        TimePoint receivedAt {};
     };
     struct Waiter {
         std::string deployment;
--- a/src/daemon/cp_engine_client.cpp
+++ b/src/daemon/cp_engine_client.cpp
@@ -100,7 +100,7 @@
 }
 
 asio::awaitable<EngineResult> EngineClient::start(Replica replica, json::object request, Milliseconds timeLeft,
-                                                  Watch watch)
+                                                  StreamHandlers handlers)
 {
     HttpCall call;
     call.address = replica.address;
@@ -110,11 +110,11 @@
     call.body = json::serialize(request);
     call.timeout = std::min(timeLeft, streamIdleTimeout);
     call.stallTimeout = streamIdleTimeout;
-    return stream(std::move(call), std::move(watch));
+    return stream(std::move(call), std::move(handlers));
 }
 
 asio::awaitable<EngineResult> EngineClient::resume(Replica replica, std::string attempt, std::uint64_t after,
-                                                   Milliseconds timeLeft, Watch watch)
+                                                   Milliseconds timeLeft, StreamHandlers handlers)
 {
     HttpCall call;
     call.address = replica.address;
@@ -122,17 +122,17 @@
     call.headers["Last-Event-ID"] = std::to_string(after);
     call.timeout = std::min(timeLeft, streamIdleTimeout);
     call.stallTimeout = streamIdleTimeout;
-    return stream(std::move(call), std::move(watch));
+    return stream(std::move(call), std::move(handlers));
 }
 
-asio::awaitable<EngineResult> EngineClient::stream(HttpCall call, Watch watch)
+asio::awaitable<EngineResult> EngineClient::stream(HttpCall call, StreamHandlers handlers)
 {
     SseParser parser;
-    ChunkReader reader(std::move(watch.onToken));
+    ChunkReader reader(std::move(handlers.onToken));
     const auto consume = [&reader](const SseEvent &event) { return reader.consume(event); };
     auto onData = [&](std::string_view bytes) {
         const bool shouldContinue = parser.feed(bytes, consume);
-        if (shouldContinue && !watch.isWanted()) {
+        if (shouldContinue && !handlers.isWanted()) {
             reader.result.end = EngineEnd::Stopped;
             return false;
         }
--- a/src/daemon/cp_engine_client.hpp
+++ b/src/daemon/cp_engine_client.hpp
@@ -21,7 +21,7 @@
     Interrupted,
     //! The engine doesn't know the attempt.
     UnknownAttempt,
-    //! Ended by Watch::isWanted.
+    //! StreamHandlers::isWanted returned false.
     Stopped,
 };
 
@@ -43,7 +43,7 @@
     //! Called for any data received, including keep-alives; returning false ends the stream.
     using WantedHandler = std::function<bool()>;
 
-    struct Watch {
+    struct StreamHandlers {
         TokenHandler onToken;
         WantedHandler isWanted;
     };
@@ -52,10 +52,10 @@
 
     //! Starts an attempt.
     boost::asio::awaitable<EngineResult> start(Replica replica, boost::json::object request, Milliseconds timeLeft,
-                                               Watch watch);
+                                               StreamHandlers handlers);
     //! Resumes an attempt's stream after a position.
     boost::asio::awaitable<EngineResult> resume(Replica replica, std::string attempt, std::uint64_t after,
-                                                Milliseconds timeLeft, Watch watch);
+                                                Milliseconds timeLeft, StreamHandlers handlers);
     //! Cancels an attempt. Returns true if the engine confirmed that it isn't running the attempt and never will.
     boost::asio::awaitable<bool> cancel(Replica replica, std::string attempt);
     //! Lists the programs that an engine holds cache entries for. Errors as HttpClient::request().
@@ -64,7 +64,7 @@
     boost::asio::awaitable<bool> release(Replica replica, ProgramId program);
 
 private:
-    boost::asio::awaitable<EngineResult> stream(HttpCall call, Watch watch);
+    boost::asio::awaitable<EngineResult> stream(HttpCall call, StreamHandlers handlers);
 
     HttpClient &http_;
 };
--- a/src/daemon/cp_http_answer.cpp
+++ b/src/daemon/cp_http_answer.cpp
@@ -23,6 +23,7 @@
 
 asio::awaitable<bool> HttpAnswer::deliver(ApiChunk chunk)
 {
+    // A complete answer is a JSON object; parts of an event stream never start with a brace.
     const bool isComplete = !chunk.body.empty() && chunk.body.front() == '{';
     if (!isStream_ || (isComplete && !hasStarted_)) {
         co_return co_await deliverComplete(std::move(chunk));
--- a/src/daemon/cp_live_call.cpp
+++ b/src/daemon/cp_live_call.cpp
@@ -15,15 +15,15 @@
         subscription.watcher(*end_);
         return;
     }
-    watchers_.push_back(std::move(subscription));
+    subscriptions_.push_back(std::move(subscription));
 }
 
 void LiveCall::restartIfRootChanged(Subscription &subscription) const
 {
     const bool hasRootChanged
-        = subscription.seen != 0 && rootAttempt_ != 0 && (subscription.seen >> 32U) != rootAttempt_;
+        = subscription.lastEventId != 0 && rootAttempt_ != 0 && (subscription.lastEventId >> 32U) != rootAttempt_;
     if (hasRootChanged) {
-        subscription.seen = 0;
+        subscription.lastEventId = 0;
         subscription.watcher({LiveEvent::Kind::Restart, 0, {}, {}});
     }
 }
@@ -36,7 +36,7 @@
     }
     rootAttempt_ = rootAttempt;
     chunks_.clear();
-    for (Subscription &subscription : watchers_) {
+    for (Subscription &subscription : subscriptions_) {
         restartIfRootChanged(subscription);
     }
 }
@@ -44,10 +44,10 @@
 void LiveCall::deliver(Subscription &subscription, const Chunk &chunk) const
 {
     const std::uint64_t id = eventId(rootAttempt_, chunk.position);
-    if (id <= subscription.seen) {
+    if (id <= subscription.lastEventId) {
         return;
     }
-    subscription.seen = id;
+    subscription.lastEventId = id;
     subscription.watcher({LiveEvent::Kind::Tokens, id, chunk.text, {}});
 }
 
@@ -59,7 +59,7 @@
         return;
     }
     chunks_.push_back({position, std::move(text)});
-    for (Subscription &subscription : watchers_) {
+    for (Subscription &subscription : subscriptions_) {
         deliver(subscription, chunks_.back());
     }
 }
@@ -71,10 +71,10 @@
         return;
     }
     end_ = event;
-    for (const Subscription &subscription : watchers_) {
+    for (const Subscription &subscription : subscriptions_) {
         subscription.watcher(event);
     }
-    watchers_.clear();
+    subscriptions_.clear();
 }
 
 void LiveCall::finish(const CallResult &result)
@@ -82,7 +82,7 @@
     end({LiveEvent::Kind::Final, eventId(result.rootAttempt, position()), {}, result});
 }
 
-void LiveCall::move()
+void LiveCall::notifyMoved()
 {
     end({LiveEvent::Kind::Moved, 0, {}, {}});
 }
--- a/src/daemon/cp_live_call.hpp
+++ b/src/daemon/cp_live_call.hpp
@@ -53,7 +53,8 @@
     void begin(std::uint32_t rootAttempt);
     void addTokens(std::uint64_t position, std::string text);
     void finish(const CallResult &result);
-    void move();
+    //! Ends the stream with Moved.
+    void notifyMoved();
 
     [[nodiscard]] std::uint64_t position() const;
     [[nodiscard]] std::string text() const;
@@ -70,7 +71,7 @@
 
 private:
     struct Subscription {
-        std::uint64_t seen = 0;
+        std::uint64_t lastEventId = 0;
         Watcher watcher;
     };
     struct Chunk {
@@ -85,7 +86,7 @@
     mutable std::mutex mutex_;
     std::uint32_t rootAttempt_ = 0;
     std::vector<Chunk> chunks_;
-    std::vector<Subscription> watchers_;
+    std::vector<Subscription> subscriptions_;
     std::optional<LiveEvent> end_;
     std::atomic<bool> isCancelled_ {false};
 };
--- a/src/daemon/cp_operator_api.cpp
+++ b/src/daemon/cp_operator_api.cpp
@@ -159,7 +159,7 @@
     }
     const bool isKnown = resource == "configuration" || resource == "status" || (resource == "vms" && path.size() == 5);
     co_return errorResponse(makeError(isKnown ? ErrorKind::MethodNotAllowed : ErrorKind::NotFound,
-                                      request.method + " " + request.path + " is not offered"));
+                                      request.method + " " + request.path + " is not supported"));
 }
 
 asio::awaitable<HttpResponse> OperatorApi::getConfiguration()
@@ -176,7 +176,8 @@
     co_return response;
 }
 
-HttpResponse OperatorApi::conflict(const ControlState &state, std::uint64_t base, const std::string &submitted) const
+HttpResponse OperatorApi::conflictResponse(const ControlState &state, std::uint64_t base,
+                                           const std::string &submitted) const
 {
     const Error error = makeError(ErrorKind::VersionConflict,
                                   fmt::format("the change is based on version {}, but the current version is {}", base,
@@ -219,7 +220,7 @@
         co_return co_await answerVersion(request, recorded->version);
     }
     if (*base != view->state.configurationVersion()) {
-        co_return conflict(view->state, *base, request.body);
+        co_return conflictResponse(view->state, *base, request.body);
     }
     change.delta = view->state.document().deltaTo(SectionDocument::fromText(request.body));
     ControlCommand command = std::move(change);
@@ -229,7 +230,7 @@
     }
     const ApplyKind kind = applied.value().kind;
     if (kind == ApplyKind::VersionConflict) {
-        co_return conflict(parts_.replica.view()->state, *base, request.body);
+        co_return conflictResponse(parts_.replica.view()->state, *base, request.body);
     }
     if (kind == ApplyKind::IdempotencyConflict) {
         co_return errorResponse(
@@ -257,16 +258,16 @@
         for (const auto &[name, vm] : view->state.vms()) {
             const auto isUpToDate
                 = [&](const VmReport &report) { return report.name == name && report.configurationVersion >= version; };
-            const bool isInForce
+            const bool hasApplied
                 = status && std::any_of(status.value().reports.begin(), status.value().reports.end(), isUpToDate);
-            if (vm.state != VmState::Lost && !isInForce) {
+            if (vm.state != VmState::Lost && !hasApplied) {
                 lagging.emplace_back(name);
             }
         }
-        const bool isEverywhere = status && lagging.empty();
-        body["in_force_everywhere"] = isEverywhere;
+        const bool isAppliedEverywhere = status && lagging.empty();
+        body["in_force_everywhere"] = isAppliedEverywhere;
         body["lagging"] = std::move(lagging);
-        if (isEverywhere || std::chrono::steady_clock::now() > deadline) {
+        if (isAppliedEverywhere || std::chrono::steady_clock::now() > deadline) {
             break;
         }
         co_await sleepFor(pollInterval);
--- a/src/daemon/cp_operator_api.hpp
+++ b/src/daemon/cp_operator_api.hpp
@@ -35,8 +35,8 @@
     boost::asio::awaitable<HttpResponse> answerVersion(const HttpRequest &request, std::uint64_t version);
     boost::asio::awaitable<HttpResponse> drain(VmName name);
     boost::asio::awaitable<HttpResponse> status();
-    [[nodiscard]] HttpResponse conflict(const ControlState &state, std::uint64_t base,
-                                        const std::string &submitted) const;
+    [[nodiscard]] HttpResponse conflictResponse(const ControlState &state, std::uint64_t base,
+                                                const std::string &submitted) const;
 
     Parts parts_;
 };
--- a/src/daemon/cp_partition_table.cpp
+++ b/src/daemon/cp_partition_table.cpp
@@ -188,7 +188,7 @@
     }
     for (auto &[id, owned] : slot.programs) {
         for (auto &[sequence, live] : owned.live) {
-            callbacks.emplace_back([live = live] { live->move(); });
+            callbacks.emplace_back([live = live] { live->notifyMoved(); });
         }
     }
     slot.waiters.clear();
--- a/src/daemon/cp_router.cpp
+++ b/src/daemon/cp_router.cpp
@@ -32,7 +32,7 @@
     return makeError(ErrorKind::Internal, "unexpected reply to a forwarded request");
 }
 
-// Retries are safe: the owner recognizes a request that it has already received.
+// The owner recognizes a repeated request by its sequence number or idempotency key.
 bool isRetryable(ErrorKind kind)
 {
     return kind == ErrorKind::NotOwner || kind == ErrorKind::PeerLost || kind == ErrorKind::DeadlineExceeded
@@ -51,28 +51,29 @@
 asio::awaitable<void> Router::forward(ApiRequest request, Deliver deliver)
 {
     TimePoint deadline = std::chrono::steady_clock::now() + ownerTimeout;
-    bool mayHaveReached = false;
+    bool mayHaveReachedOwner = false;
     while (std::chrono::steady_clock::now() < deadline) {
         const TimePoint startedAt = std::chrono::steady_clock::now();
-        const TryResult result = co_await tryForward(request, deliver, mayHaveReached);
+        const TryResult result = co_await tryForward(request, deliver, mayHaveReachedOwner);
         if (result == TryResult::Done) {
             co_return;
         }
         retries_.add();
-        // An owner that ran the request for a while resets the time limit for finding one.
+        // The time limit for finding an owner starts again after an owner has held the request for this long.
         if (std::chrono::steady_clock::now() - startedAt > keepAliveInterval) {
             deadline = std::chrono::steady_clock::now() + ownerTimeout;
         }
         co_await sleepFor(retryDelay);
     }
     Error error = makeError(ErrorKind::NotReady, "the program currently has no reachable owner");
-    error.outcome = mayHaveReached ? Outcome::Unknown : Outcome::NotRun;
+    error.outcome = mayHaveReachedOwner ? Outcome::Unknown : Outcome::NotRun;
     error.retryAfter = Milliseconds(1000);
     ApiChunk chunk = errorChunk(error);
     co_await deliver(std::move(chunk));
 }
 
-asio::awaitable<Router::TryResult> Router::tryForward(ApiRequest &request, const Deliver &deliver, bool &mayHaveReached)
+asio::awaitable<Router::TryResult> Router::tryForward(ApiRequest &request, const Deliver &deliver,
+                                                      bool &mayHaveReachedOwner)
 {
     const auto view = parts_.replica.view();
     const VmName owner = view->state.partitions()[parts_.table.partitionOf(request.program)].owner;
@@ -92,7 +93,7 @@
         std::optional<Result<ApiChunk>> next = co_await answers->pop(keepAliveInterval);
         Result<ApiChunk> chunk = next ? std::move(*next) : Result<ApiChunk>(ApiChunk {});
         if (!chunk && isRetryable(chunk.error().kind)) {
-            mayHaveReached = mayHaveReached
+            mayHaveReachedOwner = mayHaveReachedOwner
                 || (chunk.error().kind != ErrorKind::NotOwner && chunk.error().outcome != Outcome::NotRun);
             co_return TryResult::Retry;
         }
--- a/src/daemon/cp_router.hpp
+++ b/src/daemon/cp_router.hpp
@@ -36,7 +36,8 @@
         Retry,
     };
 
-    boost::asio::awaitable<TryResult> tryForward(ApiRequest &request, const Deliver &deliver, bool &mayHaveReached);
+    boost::asio::awaitable<TryResult> tryForward(ApiRequest &request, const Deliver &deliver,
+                                                 bool &mayHaveReachedOwner);
 
     Parts parts_;
     Counter &forwarded_;
--- a/tests/daemon/cp_live_call.tests.cpp
+++ b/tests/daemon/cp_live_call.tests.cpp
@@ -52,7 +52,7 @@
 
 BOOST_AUTO_TEST_SUITE(live_call)
 
-BOOST_AUTO_TEST_CASE(a_late_watcher_receives_the_whole_answer)
+BOOST_AUTO_TEST_CASE(a_late_watcher_receives_all_tokens_after_its_last_event)
 {
     LiveCall call;
     call.begin(1);
@@ -122,13 +122,13 @@
     LiveCall call;
     RecordedEvents seen;
     call.watch(0, seen.watcher());
-    call.move();
+    call.notifyMoved();
     call.finish(resultOf("late"));
     BOOST_TEST(seen.hasMoved);
     BOOST_TEST(!seen.isFinal);
 }
 
-BOOST_AUTO_TEST_CASE(native_and_chat_formats_carry_the_same_text)
+BOOST_AUTO_TEST_CASE(answer_chunks_follow_the_requested_format)
 {
     AnswerContext context;
     context.program = "0123456789abcdef0123456789abcdef";
