--- a/benchmarks/cp_limits.bench.cpp
+++ b/benchmarks/cp_limits.bench.cpp
@@ -53,8 +53,8 @@
 class CentralCounter : public LimitStrategy
 {
 public:
-    CentralCounter(RequestLimit limit, LimitTolerance exactness)
-        : limiter_(exactness)
+    CentralCounter(RequestLimit limit, LimitTolerance counterTolerance)
+        : limiter_(counterTolerance)
     {
         Account account;
         account.name = "a";
@@ -162,11 +162,11 @@
     Outcomes run(Milliseconds length)
     {
         const TimePoint end = start + warmUp + length;
-        next_ = start + warmUp;
-        while (next_ < end || !events_.empty()) {
-            if (events_.empty() || (next_ < end && next_ < events_.top().at)) {
-                schedule(next_, drawTurns(), true);
-                next_ += seconds(
+        nextArrival_ = start + warmUp;
+        while (nextArrival_ < end || !events_.empty()) {
+            if (events_.empty() || (nextArrival_ < end && nextArrival_ < events_.top().at)) {
+                schedule(nextArrival_, drawTurns(), true);
+                nextArrival_ += toMicroseconds(
                     std::exponential_distribution<double>(load_ * limit_.perSecond / requestsPerProgram)(random_));
                 continue;
             }
@@ -182,7 +182,7 @@
     struct Event {
         TimePoint at;
         int turnsLeft = 0;
-        bool isFirst = false;
+        bool beginsProgram = false;
 
         friend bool operator<(const Event &left, const Event &right)
         {
@@ -190,38 +190,38 @@
         }
     };
 
-    static std::chrono::microseconds seconds(double value)
+    static std::chrono::microseconds toMicroseconds(double seconds)
     {
-        return std::chrono::microseconds(static_cast<std::int64_t>(value * 1e6) + 1);
+        return std::chrono::microseconds(static_cast<std::int64_t>(seconds * 1e6) + 1);
     }
     int drawTurns()
     {
         return random_() % 100 < 57 ? 4 : 7;
     }
-    void schedule(TimePoint at, int turnsLeft, bool isFirst)
+    void schedule(TimePoint at, int turnsLeft, bool beginsProgram)
     {
-        events_.push({at, turnsLeft, isFirst});
+        events_.push({at, turnsLeft, beginsProgram});
     }
-    bool send(TimePoint now, bool isFirst)
+    bool send(TimePoint now, bool beginsProgram)
     {
         ++result_.requests;
-        const Admission admission = strategy_.admit(random_() % entries_, isFirst, now);
+        const Admission admission = strategy_.admit(random_() % entries_, beginsProgram, now);
         if (admission.isAdmitted) {
-            sent_.push_back(now + admission.delay);
-            while (sent_.front() + tolerance.window <= now) {
-                sent_.pop_front();
+            admittedTimes_.push_back(now + admission.delay);
+            while (admittedTimes_.front() + tolerance.window <= now) {
+                admittedTimes_.pop_front();
             }
             const double allowed
                 = (limit_.perSecond * 5 + limit_.burst) * (1 + tolerance.excessShare) + tolerance.excessRequests;
-            result_.worstExcess = std::max(result_.worstExcess, static_cast<double>(sent_.size()) - allowed);
+            result_.worstExcess = std::max(result_.worstExcess, static_cast<double>(admittedTimes_.size()) - allowed);
         }
         return admission.isAdmitted;
     }
     void step(const Event &event)
     {
-        result_.programs += event.isFirst ? 1 : 0;
-        // One turn followed by up to three tool calls, with these probabilities.
-        bool isServed = send(event.at, event.isFirst);
+        result_.programs += event.beginsProgram ? 1 : 0;
+        // One turn followed by up to three tool calls, each with its own probability.
+        bool isServed = send(event.at, event.beginsProgram);
         for (const unsigned percent : {70U, 40U, 20U}) {
             if (isServed && random_() % 100 < percent) {
                 isServed = send(event.at, false);
@@ -230,8 +230,8 @@
         if (!isServed) {
             ++result_.failed;
         } else if (event.turnsLeft > 1) {
-            schedule(event.at + seconds(0.25 + std::exponential_distribution<double>(4)(random_)), event.turnsLeft - 1,
-                     false);
+            schedule(event.at + toMicroseconds(0.25 + std::exponential_distribution<double>(4)(random_)),
+                     event.turnsLeft - 1, false);
         }
     }
 
@@ -241,8 +241,8 @@
     std::size_t entries_;
     std::mt19937_64 random_;
     std::priority_queue<Event> events_;
-    std::deque<TimePoint> sent_;
-    TimePoint next_;
+    std::deque<TimePoint> admittedTimes_;
+    TimePoint nextArrival_;
     Outcomes result_;
 };
 
--- a/benchmarks/cp_policies.bench.cpp
+++ b/benchmarks/cp_policies.bench.cpp
@@ -70,8 +70,8 @@
     return 1.0 + loadProfile.burstSeconds / loadProfile.burstEverySeconds * (loadProfile.burstFactor - 1.0);
 }
 
-// Programs per second that keep all slots of the baseline in use, bursts included. Approached from below, since larger
-// batches run slower.
+// Returns the mean rate, bursts included, of programs per second that keep all slots of the baseline in use.
+// Extrapolated from 90 % utilisation, since larger batches run slower.
 double measureCapacity(const std::string &profile)
 {
     double rate = 1.0;
@@ -115,21 +115,21 @@
 
 void checkBounds(const std::vector<Row> &rows, const std::string &profile, const std::string &highest, Bounds &bounds)
 {
-    const Row &base95 = find(rows, profile, "fcfs+least-load", "even", 0.95);
-    const Row &own95 = find(rows, profile, "las+warm-detour", "even", 0.95);
-    const Row &own60 = find(rows, profile, "las+warm-detour", "even", 0.6);
-    const Row &own120 = find(rows, profile, "las+warm-detour", "even", 1.2);
+    const Row &baseline95 = find(rows, profile, "fcfs+least-load", "even", 0.95);
+    const Row &warmDetour95 = find(rows, profile, "las+warm-detour", "even", 0.95);
+    const Row &warmDetour60 = find(rows, profile, "las+warm-detour", "even", 0.6);
+    const Row &warmDetour120 = find(rows, profile, "las+warm-detour", "even", 1.2);
     bounds.atMost(profile + ": p95 of the highest rank at 95 %, against the baseline",
-                  p95(own95, highest) / p95(base95, highest), 0.5);
+                  p95(warmDetour95, highest) / p95(baseline95, highest), 0.5);
     bounds.atMost(profile + ": p95 of the highest rank at 60 %, against the bound",
-                  percentile(own60.result.classes.at(highest).stretch, 0.95), 1.3);
-    const double wastedBase = static_cast<double>(base95.result.recomputedTokens);
+                  percentile(warmDetour60.result.classes.at(highest).stretch, 0.95), 1.3);
+    const double baselineRecomputed = static_cast<double>(baseline95.result.recomputedTokens);
     bounds.atMost(profile + ": prompt tokens computed again at 95 %, against the baseline",
-                  static_cast<double>(own95.result.recomputedTokens) / wastedBase, 0.3);
+                  static_cast<double>(warmDetour95.result.recomputedTokens) / baselineRecomputed, 0.3);
     bounds.atLeast(profile + ": work of finished programs at 120 %, against 95 %",
-                   own120.result.goodput / own95.result.goodput, 0.9);
+                   warmDetour120.result.goodput / warmDetour95.result.goodput, 0.9);
     bounds.atMost(profile + ": calls of the highest rank shed at 120 %",
-                  static_cast<double>(own120.result.classes.at(highest).shedCalls), 0);
+                  static_cast<double>(warmDetour120.result.classes.at(highest).shedCalls), 0);
 }
 
 void runAll(std::vector<Row> &rows, const std::map<std::string, double> &capacities)
--- a/benchmarks/cp_policy_run.cpp
+++ b/benchmarks/cp_policy_run.cpp
@@ -34,7 +34,7 @@
     return workClass == "trim-check" || workClass == "gate-reshuffle" ? 1 : 0;
 }
 
-std::string words(std::int64_t count, std::mt19937_64 &random)
+std::string randomWords(std::int64_t count, std::mt19937_64 &random)
 {
     std::string text;
     for (std::int64_t i = 0; i < count; ++i) {
@@ -90,7 +90,7 @@
 
 void PolicyRun::schedule(TimePoint time, std::function<void()> action)
 {
-    queue_.emplace(std::max(time, now_), std::move(action));
+    events_.emplace(std::max(time, now_), std::move(action));
 }
 
 PolicyRunResult PolicyRun::run()
@@ -98,23 +98,23 @@
     refreshReplicas();
     scheduleNextArrival();
     const TimePoint end = start_ + Milliseconds(static_cast<std::int64_t>(options_.seconds * 1000));
-    while (!queue_.empty() && queue_.begin()->first <= end) {
-        now_ = queue_.begin()->first;
-        const auto action = std::move(queue_.begin()->second);
-        queue_.erase(queue_.begin());
+    while (!events_.empty() && events_.begin()->first <= end) {
+        now_ = events_.begin()->first;
+        const auto action = std::move(events_.begin()->second);
+        events_.erase(events_.begin());
         action();
     }
-    result_.utilisation = slotsInUse_ / samples_;
+    result_.utilisation = slotsInUseSum_ / slotsSum_;
     result_.goodput /= options_.seconds;
-    result_.finishedPerSecond = static_cast<double>(finished_) / options_.seconds;
+    result_.finishedPerSecond = static_cast<double>(finishedPrograms_) / options_.seconds;
     return std::move(result_);
 }
 
 void PolicyRun::refreshReplicas()
 {
     for (const ReplicaView &replica : scheduler_->replicas()) {
-        slotsInUse_ += static_cast<double>(replica.ownInFlight);
-        samples_ += replica.slots;
+        slotsInUseSum_ += static_cast<double>(replica.ownInFlight);
+        slotsSum_ += replica.slots;
     }
     std::vector<ReplicaView> views;
     for (std::size_t i = 0; i < engines_.size(); ++i) {
@@ -153,7 +153,7 @@
     ++program->turn;
     program->maxTokens = program->shape.maxTokens.draw(random_);
     program->messages.push_back(
-        json::object {{"role", "user"}, {"content", words(program->shape.promptWords.draw(random_), random_)}});
+        json::object {{"role", "user"}, {"content", randomWords(program->shape.promptWords.draw(random_), random_)}});
     submit(program);
 }
 
@@ -270,7 +270,7 @@
         schedule(now_ + Milliseconds(program->shape.pauseMs.draw(random_)), [this, program] { startTurn(program); });
         return;
     }
-    ++finished_;
+    ++finishedPrograms_;
     result_.goodput += program->idealMs;
     ClassResult &result = result_.classes[program->shape.workClass];
     result.workMs.push_back(program->workMs);
--- a/benchmarks/cp_policy_run.hpp
+++ b/benchmarks/cp_policy_run.hpp
@@ -79,7 +79,7 @@
     std::mt19937_64 random_;
     TimePoint start_ {std::chrono::hours(1)};
     TimePoint now_ = start_;
-    std::multimap<TimePoint, std::function<void()>> queue_;
+    std::multimap<TimePoint, std::function<void()>> events_;
     std::vector<std::unique_ptr<standin::EngineModel>> engines_;
     std::vector<TimePoint> wakeTimes_;
     std::vector<std::map<std::string, std::shared_ptr<Program>>> inFlight_;
@@ -87,9 +87,9 @@
     std::map<std::uint64_t, std::shared_ptr<Program>> waiting_;
     std::uint64_t nextCall_ = 1;
     std::uint64_t nextProgram_ = 1;
-    std::uint64_t finished_ = 0;
-    double slotsInUse_ = 0;
-    double samples_ = 0;
+    std::uint64_t finishedPrograms_ = 0;
+    double slotsInUseSum_ = 0;
+    double slotsSum_ = 0;
     PolicyRunResult result_;
 };
 
--- a/fuzzing/fuzz_frame.cpp
+++ b/fuzzing/fuzz_frame.cpp
@@ -19,7 +19,8 @@
 
 } // namespace
 
-// Decodes messages between processes and log records; frames, commands and state that decode are encoded again.
+// Decodes frames, control commands, control state, journal records and buckets. A decoded frame is encoded again; a
+// decoded command is applied to a state, which is then encoded.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     using namespace cardamompost;
--- a/fuzzing/soak.cpp
+++ b/fuzzing/soak.cpp
@@ -51,7 +51,7 @@
         += toHours(std::chrono::duration_cast<cardamompost::Milliseconds>(simulation.cluster().network.now - start));
 }
 
-std::uint64_t parse(const char *text)
+std::uint64_t parseSeed(const char *text)
 {
     std::uint64_t value = 0;
     std::from_chars(text, text + std::strlen(text), value);
@@ -68,8 +68,8 @@
     }
     const ThrowingInvariants guard;
     Totals totals;
-    const std::uint64_t last = parse(argv[2]);
-    for (std::uint64_t seed = parse(argv[1]); seed <= last; ++seed) {
+    const std::uint64_t last = parseSeed(argv[2]);
+    for (std::uint64_t seed = parseSeed(argv[1]); seed <= last; ++seed) {
         for (const auto &[name, run] : {std::pair("control log", &runRaft), std::pair("journal", &runJournal)}) {
             try {
                 run(seed, totals);
