--- a/tests/tools/what_binds_tests.py
+++ b/tests/tools/what_binds_tests.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Tests of tools/what_binds.py on logs made here."""
+"""Tests of tools/what_binds.py on generated logs."""
 
 import json
 import pathlib
@@ -33,13 +33,13 @@
 
 
 class Pauses(unittest.TestCase):
-    """A program pauses for 600 ms between two turns. Entry 0 carries it; some 200 others write few lines each."""
+    """A program pauses for 600 ms between two turns. Entry 0 serves it; 200 entries log rarely."""
 
     ENTRIES = 200
     GAP_MS = 120
 
-    def busy_entries(self, frozen=()):
-        # Each writes a line every GAP_MS on average, and a frozen one none from 1.5 to 4.5 s.
+    def rarely_logging_entries(self, frozen=()):
+        # Each entry logs a line every GAP_MS on average; a frozen one logs none from 1.5 to 4.5 s.
         draw = random.Random(1)
         for number in range(self.ENTRIES):
             at = draw.expovariate(1 / self.GAP_MS)
@@ -50,17 +50,17 @@
 
     def cause(self, frozen=()):
         pause = [request(2000, "frontend-0", "p"), request(2700, "frontend-0", "p")]
-        day = day_of([*self.busy_entries(frozen), *pause])
+        day = day_of([*self.rarely_logging_entries(frozen), *pause])
         lost, _, _ = day.explain(day.programs["p"])
         return max(lost, key=lost.get)
 
-    def test_entries_whose_lines_are_few_are_not_taken_for_lost(self):
+    def test_entries_that_log_rarely_are_not_considered_lost(self):
         self.assertEqual(self.cause(), "way")
 
-    def test_an_entry_that_stood_still_is_found_among_hundreds(self):
+    def test_a_frozen_entry_is_found_among_hundreds(self):
         self.assertEqual(self.cause(frozen={7}), "entry")
 
-    def test_everything_off_is_told_from_a_lost_entry(self):
+    def test_an_outage_of_all_entries_is_distinguished_from_a_lost_entry(self):
         self.assertEqual(self.cause(frozen=set(range(1, self.ENTRIES))), "all-off")
 
 
