--- a/tools/capacity.sh
+++ b/tools/capacity.sh
@@ -27,32 +27,33 @@
     echo "$total"
 }
 
-idle() { # nodes
-    local leader cpu0 cpu1 lead0 lead1 bytes0 bytes1 leadBytes0 leadBytes1 seconds=8
+measure_idle_load() { # nodes
+    local leader cpu0 cpu1 leaderCpu0 leaderCpu1 bytes0 bytes1 leaderBytes0 leaderBytes1 seconds=8
     leader=$(leader_number)
     sleep 3
     cpu0=$(sum_metric "$1" cardamompost_process_cpu_seconds)
     bytes0=$(sum_metric "$1" cardamompost_peer_bytes_sent)
-    lead0=$(metric "$leader" cardamompost_process_cpu_seconds)
-    leadBytes0=$(calc "$(metric "$leader" cardamompost_peer_bytes_sent) + $(metric "$leader" cardamompost_peer_bytes_received)")
+    leaderCpu0=$(metric "$leader" cardamompost_process_cpu_seconds)
+    leaderBytes0=$(calc "$(metric "$leader" cardamompost_peer_bytes_sent) + $(metric "$leader" cardamompost_peer_bytes_received)")
     local t0 t1
     t0=$(now)
     sleep $seconds
     cpu1=$(sum_metric "$1" cardamompost_process_cpu_seconds)
     bytes1=$(sum_metric "$1" cardamompost_peer_bytes_sent)
-    lead1=$(metric "$leader" cardamompost_process_cpu_seconds)
-    leadBytes1=$(calc "$(metric "$leader" cardamompost_peer_bytes_sent) + $(metric "$leader" cardamompost_peer_bytes_received)")
+    leaderCpu1=$(metric "$leader" cardamompost_process_cpu_seconds)
+    leaderBytes1=$(calc "$(metric "$leader" cardamompost_peer_bytes_sent) + $(metric "$leader" cardamompost_peer_bytes_received)")
     t1=$(now)
     local span
     span=$(calc "$t1 - $t0")
-    row idle_cpu_percent_of_core_a_node "$1" "$(calc "100 * ($cpu1 - $cpu0 - $lead1 + $lead0) / ($1 - 1) / $span")"
-    row idle_cpu_percent_of_core_leader "$1" "$(calc "100 * ($lead1 - $lead0) / $span")"
+    row idle_cpu_percent_of_core_a_node "$1" "$(calc "100 * ($cpu1 - $cpu0 - $leaderCpu1 + $leaderCpu0) / ($1 - 1) / $span")"
+    row idle_cpu_percent_of_core_leader "$1" "$(calc "100 * ($leaderCpu1 - $leaderCpu0) / $span")"
+    # Doubled, since each byte sent is also received by another node.
     row idle_bytes_a_second_a_node "$1" "$(calc "2 * ($bytes1 - $bytes0) / $1 / $span")"
-    row idle_bytes_a_second_leader "$1" "$(calc "($leadBytes1 - $leadBytes0) / $span")"
+    row idle_bytes_a_second_leader "$1" "$(calc "($leaderBytes1 - $leaderBytes0) / $span")"
     row idle_resident_mb_a_node "$1" "$(calc "$(sum_metric "$1" cardamompost_resident_bytes) / $1 / 1e6")"
 }
 
-spread() { # nodes
+measure_propagation_time() { # nodes
     local total=0 t0 t1
     for round in 1 2 3 4 5; do
         sed "s/rank = 5/rank = $((5 + round))/" "$work/document.ini" >"$work/changed.ini"
@@ -64,15 +65,15 @@
     row change_in_force_everywhere_seconds "$1" "$(calc "$total / 5")"
 }
 
-changes() { # nodes: cost of a configuration change above the idle load
-    local leader count=60 cpu0 cpu1 lead0 lead1 bytes0 bytes1 t0 t1 idleCpu idleLead idleBytes
+measure_change_cost() { # nodes: cost of a configuration change above the idle load
+    local leader count=60 cpu0 cpu1 leaderCpu0 leaderCpu1 bytes0 bytes1 t0 t1 idleCpu idleLeaderCpu idleBytes
     leader=$(leader_number)
     sleep 1
     # Takes the same readings over an idle window and over a window of changes.
     for window in idle changes; do
         cpu0=$(sum_metric "$1" cardamompost_process_cpu_seconds)
         bytes0=$(sum_metric "$1" cardamompost_peer_bytes_sent)
-        lead0=$(metric "$leader" cardamompost_process_cpu_seconds)
+        leaderCpu0=$(metric "$leader" cardamompost_process_cpu_seconds)
         t0=$(now)
         if [ $window = idle ]; then
             sleep 6
@@ -86,27 +87,27 @@
         t1=$(now)
         cpu1=$(sum_metric "$1" cardamompost_process_cpu_seconds)
         bytes1=$(sum_metric "$1" cardamompost_peer_bytes_sent)
-        lead1=$(metric "$leader" cardamompost_process_cpu_seconds)
+        leaderCpu1=$(metric "$leader" cardamompost_process_cpu_seconds)
         if [ $window = idle ]; then
-            idleCpu=$(calc "($cpu1 - $cpu0 - $lead1 + $lead0) / ($t1 - $t0)")
-            idleLead=$(calc "($lead1 - $lead0) / ($t1 - $t0)")
+            idleCpu=$(calc "($cpu1 - $cpu0 - $leaderCpu1 + $leaderCpu0) / ($t1 - $t0)")
+            idleLeaderCpu=$(calc "($leaderCpu1 - $leaderCpu0) / ($t1 - $t0)")
             idleBytes=$(calc "($bytes1 - $bytes0) / ($t1 - $t0)")
         fi
     done
     local span
     span=$(calc "$t1 - $t0")
-    row change_cpu_ms_a_node "$1" "$(calc "1000 * ($cpu1 - $cpu0 - $lead1 + $lead0 - $idleCpu * $span) / ($1 - 1) / $count")"
-    row change_cpu_ms_leader "$1" "$(calc "1000 * ($lead1 - $lead0 - $idleLead * $span) / $count")"
+    row change_cpu_ms_a_node "$1" "$(calc "1000 * ($cpu1 - $cpu0 - $leaderCpu1 + $leaderCpu0 - $idleCpu * $span) / ($1 - 1) / $count")"
+    row change_cpu_ms_leader "$1" "$(calc "1000 * ($leaderCpu1 - $leaderCpu0 - $idleLeaderCpu * $span) / $count")"
     row change_bytes_a_node "$1" "$(calc "2 * ($bytes1 - $bytes0 - $idleBytes * $span) / $1 / $count")"
 }
 
-create_programs() { # count text-bytes
+create_programs() { # count
     local body='{"deployment":"stow-agents","class":"plan-session"}'
     seq "$1" | xargs -P 8 -I{} curl -s -o /dev/null -H 'Authorization: Bearer officer-key' -H 'Idempotency-Key: capacity-{}' -d "$body" \
         "http://127.0.0.1:20001/v1/programs"
 }
 
-takeover() { # programs nodes
+measure_takeover() { # programs nodes
     local victim t0 t1 before
     victim=$(leader_number)
     victim=$((victim == 2 ? 3 : 2))
@@ -127,9 +128,9 @@
 
 for nodes in 3 9 27 81; do
     start_system $nodes 3 1024 3
-    [ $part = changes ] || idle $nodes
-    [ $part = changes ] || spread $nodes
-    changes $nodes
+    [ $part = changes ] || measure_idle_load $nodes
+    [ $part = changes ] || measure_propagation_time $nodes
+    measure_change_cost $nodes
     stop_system
 done
 if [ $part = changes ]; then
@@ -144,7 +145,7 @@
     before=$(sum_metric 9 cardamompost_resident_bytes)
     [ $programs = 0 ] || create_programs $programs
     row resident_mb_all_nodes "$programs" "$(calc "$(sum_metric 9 cardamompost_resident_bytes) / 1e6")"
-    takeover $programs 9
+    measure_takeover $programs 9
     stop_system
 done
 
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs all checks required before merging: packages, build with warnings as errors, format, linter, tests, fuzz targets
-# and short benchmarks. Works on a fresh machine.
+# Runs all checks required before merging: format, build with warnings as errors, deployment build, generated schema
+# code, linter, documentation, fuzz targets, tests and a short fault soak of the gateway. Installs missing packages, so
+# that it works on a fresh machine.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source tools/scripts/packages.sh
--- a/tools/drain.sh
+++ b/tools/drain.sh
@@ -26,7 +26,7 @@
     [ "$code" = 0 ] || exit 1
     [ $took -gt $longest ] && longest=$took
     start_vm $i
-    wait_owned 5
+    wait_until_ready 5
 done
 code=0
 wait $load || code=$?
--- a/tools/experiment.sh
+++ b/tools/experiment.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Compares the scheduling policies in virtual time, writes docs/results/policies.tsv and plots of latency against load,
-# and fails if a bound is exceeded.
+# and fails if a bound is not met.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake -S . -B build -G Ninja -DCMAKE_CXX_COMPILER_LAUNCHER=ccache -DCARDAMOMPOST_TESTS=ON >/dev/null
--- a/tools/gateway_ablation.py
+++ b/tools/gateway_ablation.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Switches the gateway's mechanisms off one by one and plays the same days with each: what is each worth?
+"""Disables the gateway's mechanisms one at a time and plays the same days, to measure what each mechanism is worth.
 
 gateway_ablation.py BENCH COPY --site FILE [--site FILE ...] [--seeds 3] [--jobs 4] [--only NAME,...]
 
-COPY is a clone of this repository that the script may change. A mechanism is switched off by an edit of one line, so
-the product carries no switches; an edit that no longer fits the source ends the run with its name.
+COPY is a clone of this repository that the script may change. A mechanism is disabled by replacing a piece of its
+source, so the product needs no settings for it. If the original text is no longer found, the run ends and names the
+mechanism.
 """
 
 import argparse
@@ -19,7 +20,7 @@
 ENTRY = "src/gateway/cp_entry_server.cpp"
 
 # Name: (file, original text, replacement).
-OFF = {
+DISABLING_EDITS = {
     "elections by observed gaps": (SERVICE, "shortestElectionTimeout {100}", "shortestElectionTimeout {300}"),
     "a new leader tells entries": ("src/gateway/cp_ledger_client.cpp", "    watchMembers();\n", ""),
     "longer answers near dark directories": (
@@ -51,7 +52,7 @@
     for site in options.site:
         days += ["--site", site]
     only = [name for name in options.only.split(",") if name]
-    for name, edit in {"nothing": None, **OFF}.items():
+    for name, edit in {"nothing": None, **DISABLING_EDITS}.items():
         if only and name not in only:
             continue
         print(f"== without: {name}", flush=True)
@@ -59,7 +60,7 @@
             path, old, new = options.copy / edit[0], edit[1], edit[2]
             source = path.read_text()
             if old not in source:
-                print(f"the switch of '{name}' does not fit {edit[0]} any more")
+                print(f"the text to replace for '{name}' is not in {edit[0]}")
                 return 1
             path.write_text(source.replace(old, new, 1))
         subprocess.run(days + ["--why", f"ablation, without: {name}"], cwd=options.copy, check=True)
--- a/tools/gateway_days.py
+++ b/tools/gateway_days.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
 """Plays days of the users' bench with several seeds and prints what callers got, as a table.
 
-gateway_days.py BENCH --site FILE [--site FILE ...] [--days A,B] [--seeds 3] [--jobs 6] [--cpu] --why "..." [--label L]
+gateway_days.py BENCH --site FILE [--site FILE ...] [--days A,B] [--seeds 3] [--jobs 6] [--cpu] --why "..."
 
 One line a day: the mean worth over the seeds, its spread, programs late and failed. The last line of a site is the
 mean over its days with trouble. BENCH is the path of the bench's program; it is run in the current folder. Without
---cpu processor time is not charged, so that a seed mostly repeats and two trees can be compared seed by seed.
+--cpu processor time is not charged, so that a run with the same seed mostly gives the same result and two source trees
+can be compared seed by seed.
 """
 
 import argparse
--- a/tools/scripts/capacity_page.py
+++ b/tools/scripts/capacity_page.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Works out the tables of docs/CAPACITY.md from the committed measurements.
+"""Computes the tables of docs/CAPACITY.md from the committed measurements.
 
 usage: capacity_page.py MEASUREMENTS.tsv PAGE.md [--check]
 
-Writes the tables between the marks in the page; with --check, fails if the page says something else.
+Writes the tables between the marks in the page; with --check, fails if the page's tables differ.
 """
 import sys
 
@@ -23,9 +23,9 @@
 END = "<!-- end -->"
 
 
-def at(series, name, x):
-    start, slope, _ = fit(series[name])
-    return start + slope * x
+def fitted_at(series, name, x):
+    intercept, slope, _ = fit(series[name])
+    return intercept + slope * x
 
 
 def mean(series, name):
@@ -50,14 +50,14 @@
         return (calls * call_cpu + tokens * token_cpu) / 10.0 / nodes
 
     rows = [
-        ("control: processor of a node, % of a core", at(series, idle_cpu, TODAY_NODES), largest, "3.6", "measured at 9; the largest measured (81) stands for 350, as it falls with the count"),
-        ("control: bytes a second of a node", at(series, "idle_bytes_a_second_a_node", TODAY_NODES), max(series["idle_bytes_a_second_a_node"])[1], "3,000", "as above; sent and received"),
-        ("control: processor of the leader, % of a core", at(series, "idle_cpu_percent_of_core_leader", TODAY_NODES), at(series, "idle_cpu_percent_of_core_leader", NODES), "set aside", "line over 3 to 81 nodes"),
-        ("control: bytes a second of the leader", at(series, "idle_bytes_a_second_leader", TODAY_NODES), at(series, "idle_bytes_a_second_leader", NODES), "set aside", "line over 3 to 81 nodes"),
-        ("a change in force everywhere, s", at(series, "change_in_force_everywhere_seconds", TODAY_NODES), at(series, "change_in_force_everywhere_seconds", NODES), "8", "line over 3 to 81 nodes; includes the command's own polling"),
+        ("control: processor of a node, % of a core", fitted_at(series, idle_cpu, TODAY_NODES), largest, "3.6", "measured at 9; the largest measured (81) stands for 350, as it falls with the count"),
+        ("control: bytes a second of a node", fitted_at(series, "idle_bytes_a_second_a_node", TODAY_NODES), max(series["idle_bytes_a_second_a_node"])[1], "3,000", "as above; sent and received"),
+        ("control: processor of the leader, % of a core", fitted_at(series, "idle_cpu_percent_of_core_leader", TODAY_NODES), fitted_at(series, "idle_cpu_percent_of_core_leader", NODES), "set aside", "line over 3 to 81 nodes"),
+        ("control: bytes a second of the leader", fitted_at(series, "idle_bytes_a_second_leader", TODAY_NODES), fitted_at(series, "idle_bytes_a_second_leader", NODES), "set aside", "line over 3 to 81 nodes"),
+        ("a change in force everywhere, s", fitted_at(series, "change_in_force_everywhere_seconds", TODAY_NODES), fitted_at(series, "change_in_force_everywhere_seconds", NODES), "8", "line over 3 to 81 nodes; includes the command's own polling"),
         ("memory of a node without programs, MB", node_mb, node_mb, "128", "does not grow with the count of nodes"),
         ("memory of a node's programs, MB", program_mb * 100 / TODAY_NODES * 1.0, program_mb * PROGRAMS / NODES, "(callers' data)", f"{program_mb * 1000:.3g} KB a program without its text; 100 programs today"),
-        ("takeover of a lost VM, s", at(series, "takeover_seconds", 0), at(series, "takeover_seconds", PROGRAMS / NODES * TODAY_NODES), "3", "from the kill until every partition has an owner"),
+        ("takeover of a lost VM, s", fitted_at(series, "takeover_seconds", 0), fitted_at(series, "takeover_seconds", PROGRAMS / NODES * TODAY_NODES), "3", "from the kill until every partition has an owner"),
         ("callers' data: processor of a node, % of a core", node_data_cpu(TODAY_NODES, TODAY_CALLS, TODAY_TOKENS), node_data_cpu(NODES, CALLS_PER_SECOND, TOKENS_PER_SECOND), "none given", f"{call_cpu:.3g} ms a call and {token_cpu:.3g} ms a token, summed over all nodes"),
         ("callers' data: bytes a second between nodes, of a node", (TODAY_CALLS * call_bytes + TODAY_TOKENS * token_bytes) / TODAY_NODES, (CALLS_PER_SECOND * call_bytes + TOKENS_PER_SECOND * token_bytes) / NODES, "none given", f"{call_bytes:.0f} bytes a call, {token_bytes:.0f} a token"),
     ]
@@ -67,7 +67,7 @@
     rows += [
         ("11,000 changes a day: processor of a node, % of a core", per_second * change_cpu / 10, per_second * change_cpu / 10, "3.6 with the above", f"{change_cpu:.3g} ms a change, the largest of 3 to 81 nodes"),
         ("11,000 changes a day: bytes a second of a node", per_second * change_bytes, per_second * change_bytes, "3,000 with the above", f"{change_bytes:.0f} bytes a change, the largest of 3 to 81 nodes; sent and received"),
-        ("11,000 changes a day: processor of the leader, % of a core", per_second * at(series, "change_cpu_ms_leader", TODAY_NODES) / 10, per_second * at(series, "change_cpu_ms_leader", NODES) / 10, "set aside", "line over 3 to 81 nodes"),
+        ("11,000 changes a day: processor of the leader, % of a core", per_second * fitted_at(series, "change_cpu_ms_leader", TODAY_NODES) / 10, per_second * fitted_at(series, "change_cpu_ms_leader", NODES) / 10, "set aside", "line over 3 to 81 nodes"),
     ]
     lines = ["| what | 9 nodes | 350 nodes | limit | from |", "|---|---|---|---|---|"]
     for name, today, later, limit, source in rows:
--- a/tools/scripts/fit.py
+++ b/tools/scripts/fit.py
@@ -21,14 +21,14 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = 0.0 if spread == 0 else sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    start = mean_y - slope * mean_x
-    worst = max(abs(y - start - slope * x) for x, y in points)
-    return start, slope, worst
+    sum_of_squares = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = 0.0 if sum_of_squares == 0 else sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_of_squares
+    intercept = mean_y - slope * mean_x
+    largest_residual = max(abs(y - intercept - slope * x) for x, y in points)
+    return intercept, slope, largest_residual
 
 
-def plot(name, points, start, slope, folder):
+def plot(name, points, intercept, slope, folder):
     data = "\n".join(f"{x} {y}" for x, y in sorted(points))
     script = f"""set terminal svg size 640,400
 set output '{folder}/{name}.svg'
@@ -37,7 +37,7 @@
 $data << END
 {data}
 END
-plot $data with points pt 7 title 'measured', {start} + {slope}*x title 'fit'
+plot $data with points pt 7 title 'measured', {intercept} + {slope}*x title 'fit'
 """
     subprocess.run(["gnuplot"], input=script.encode(), check=True)
 
@@ -47,11 +47,11 @@
     print("| series | smallest x | largest x | at x = 0 | slope for each x | largest residual |")
     print("|---|---|---|---|---|---|")
     for name, points in read(path).items():
-        start, slope, worst = fit(points)
+        intercept, slope, largest_residual = fit(points)
         xs = [x for x, _ in points]
-        print(f"| {name} | {min(xs):g} | {max(xs):g} | {start:.4g} | {slope:.4g} | {worst:.3g} |")
+        print(f"| {name} | {min(xs):g} | {max(xs):g} | {intercept:.4g} | {slope:.4g} | {largest_residual:.3g} |")
         if shutil.which("gnuplot"):
-            plot(name, points, start, slope, folder)
+            plot(name, points, intercept, slope, folder)
 
 
 if __name__ == "__main__":
--- a/tools/scripts/fuzz.sh
+++ b/tools/scripts/fuzz.sh
@@ -6,13 +6,14 @@
 runs=${1:-20000}
 out=build/fuzz
 mkdir -p $out
-# A run of target frame that ends in the fault shown by this test, while KNOWN-RED.txt lists it, is repeated with the
-# next seed. Each run starts from the seeds, since a corpus that has reached the fault soon reaches it again.
+# While KNOWN-RED.txt lists this test, a run of the target 'frame' that ends in the fault shown by the test is repeated
+# with the next random seed. Each run starts from the inputs in fuzzing/seeds, since a corpus that has reached the fault
+# soon reaches it again.
 known_test=control_state/a_command_that_declares_more_moves_than_its_size_allows_is_rejected
-most_attempts=5
+max_attempts=5
 
-# Usage: is_known_fault TARGET LOG. Another decoder that runs out of memory is another fault, so the first frame in the
-# sources must be decodeCommandMessage().
+# Usage: is_known_fault TARGET LOG. Another decoder that runs out of memory is another fault, so the innermost stack
+# frame in this project's sources must be decodeCommandMessage().
 is_known_fault() {
     local frame
     [ "$1" = frame ] || return 1
@@ -22,7 +23,7 @@
     [[ $frame == *' in cardamompost::(anonymous namespace)::decodeCommandMessage('* ]]
 }
 
-# Usage: reset_corpus TARGET.
+# Usage: reset_corpus TARGET
 reset_corpus() {
     rm -rf "$out/corpus_$1"
     mkdir -p "$out/corpus_$1"
@@ -53,8 +54,8 @@
             exit 1
         fi
         passed_over=$((passed_over + 1))
-        if [ $passed_over -eq $most_attempts ]; then
-            echo "$target: not run to its end, each of $most_attempts runs ended in the known fault (KNOWN-RED.txt):"
+        if [ $passed_over -eq $max_attempts ]; then
+            echo "$target: not run to its end, each of $max_attempts runs ended in the known fault (KNOWN-RED.txt):"
             echo "out of memory in decodeCommandMessage(), $known_test"
             exit 1
         fi
--- a/tools/scripts/local_system.sh
+++ b/tools/scripts/local_system.sh
@@ -1,5 +1,5 @@
 # Starts and stops a system of processes on loopback for measurements. Sourced by the scripts in tools.
-# Requires $build and $work; uses ports from 20000 upwards.
+# Requires $build and $work, reads $slots (slots per engine, 8 by default), and uses ports from 20000 upwards.
 declare -A pids=()
 domains=(apapa tincan onne)
 
@@ -12,7 +12,7 @@
     pids=()
 }
 
-write_vm() { # number keepers partitions extra
+write_settings() { # number keepers partitions [extra-settings]
     {
         printf '[vm]\nname = vm-%s\nfailure_domain = %s\nhttp = 127.0.0.1:%s\npeer = 127.0.0.1:%s\n' "$1" "${domains[$((($1 - 1) % 3))]}" $((20000 + $1)) $((21000 + $1))
         printf 'log_file = %s/vm-%s.log\nlog_level = warning\ndirectory_ttl_ms = 1000\nworkers = 2\n' "$work" "$1"
@@ -37,25 +37,26 @@
     done
 }
 
-start_system() { # nodes keepers partitions replicas extra-settings standin-options
+start_system() { # nodes keepers partitions replicas [extra-settings] [standin-options]
     rm -rf "$work"/data-* "$work"/vm-*
     local ports=""
     for ((n = 0; n < $4; ++n)); do ports="$ports $((22000 + n))"; done
     $build/cardamompost-standin --engine-ports $ports --service-ports 22900 --slots "${slots:-8}" ${6:-} &
     pids[standin]=$!
     for ((i = 1; i <= $1; ++i)); do
-        write_vm $i "$2" "$3" "${5:-}"
+        write_settings $i "$2" "$3" "${5:-}"
         start_vm $i
     done
     CARDAMOMPOST_ENTRIES=""
     for ((i = 1; i <= $1; ++i)); do CARDAMOMPOST_ENTRIES="$CARDAMOMPOST_ENTRIES,127.0.0.1:$((20000 + i))"; done
     export CARDAMOMPOST_ENTRIES=${CARDAMOMPOST_ENTRIES#,}
-    wait_owned "$1"
+    wait_until_ready "$1"
     write_document "$4" >"$work/document.ini"
     $build/cardamompost config submit "$work/document.ini" --key first-key --wait 20000 >/dev/null
 }
 
-wait_owned() { # nodes
+# Waits until all VMs are live and every partition has an owner.
+wait_until_ready() { # nodes
     for _ in $(seq 300); do
         local status
         status=$($build/cardamompost status --key first-key --output json 2>/dev/null || $build/cardamompost status --key duty-key --output json 2>/dev/null || true)
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs the randomized fault simulations for many seeds on all cores and prints a failing seed.
-# Usage: tools/soak.sh [SEEDS] [FIRST]
+# Usage: tools/soak.sh [SEED_COUNT] [FIRST_SEED]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seeds=${1:-400}
