--- a/include/cardamompost/edge/cp_iplatform_adapter.hpp
+++ b/include/cardamompost/edge/cp_iplatform_adapter.hpp
@@ -12,7 +12,7 @@
 namespace cardamompost
 {
 
-//! Names of the HTTP headers exchanged with callers and backend servers, in lower case.
+//! Names of the HTTP headers exchanged with callers and backend servers; compared without regard to case.
 struct HeaderNames {
     std::string requestId;
     std::string program;
--- a/include/cardamompost/net/cp_api_message.hpp
+++ b/include/cardamompost/net/cp_api_message.hpp
@@ -52,7 +52,7 @@
     std::string body;
 };
 
-//! Requests call permits for a caller from the VM that allocates them for all VMs.
+//! Requests rate-limit tokens for a caller from the VM that grants them to all VMs.
 struct LimitRequest {
     std::string caller;
     std::uint32_t wanted = 0;
@@ -60,7 +60,7 @@
 
 struct LimitReply {
     std::uint32_t granted = 0;
-    //! Time until more permits are available.
+    //! Time until more tokens are available.
     std::uint32_t retryAfterMs = 0;
 };
 
--- a/include/cardamompost/net/cp_async_queue.hpp
+++ b/include/cardamompost/net/cp_async_queue.hpp
@@ -37,7 +37,7 @@
         boost::asio::post(timer_.get_executor(), [self = this->shared_from_this()] { self->timer_.cancel(); });
     }
 
-    //! \returns the next item, or nullopt on timeout
+    //! \returns the next item; nullopt on timeout, or earlier on a late wake-up for an item that was already popped
     boost::asio::awaitable<std::optional<T>> pop(std::chrono::milliseconds timeout)
     {
         std::optional<T> item = tryPop();
--- a/include/cardamompost/net/cp_http_client.hpp
+++ b/include/cardamompost/net/cp_http_client.hpp
@@ -23,12 +23,12 @@
     std::string target;
     HttpHeaders headers;
     std::string body;
-    //! Limit for the whole response, or until the first byte of a stream.
+    //! Limit for the whole response or, for a stream, for its headers.
     Milliseconds timeout {10'000};
     //! Maximum time between two reads of a stream.
     Milliseconds stallTimeout {10'000};
-    //! False opens a new connection. The server may have closed a pooled one, and then it is unknown whether it
-    //! received the request.
+    //! False for a request that must not be sent twice; it gets a new connection. When the server closes a pooled
+    //! connection, it is unknown whether the server received the request, which is then sent again.
     bool reuseConnection = true;
 };
 
--- a/include/cardamompost/net/cp_http_server.hpp
+++ b/include/cardamompost/net/cp_http_server.hpp
@@ -48,7 +48,7 @@
 {
 public:
     using Handler = std::function<boost::asio::awaitable<void>(HttpRequest &request, IHttpResponder &responder)>;
-    //! Creates the response to a request that cannot be parsed.
+    //! Creates the response to a request that is malformed, too large or too slow.
     using ErrorHandler = std::function<HttpResponse(const Error &error)>;
 
     HttpServer(boost::asio::any_io_executor executor, HttpLimits limits, Handler handler, ErrorHandler errorHandler);
--- a/include/cardamompost/net/cp_peer_client.hpp
+++ b/include/cardamompost/net/cp_peer_client.hpp
@@ -44,12 +44,13 @@
     std::uint64_t request(FrameBody body, Milliseconds timeout, ReplyHandler handler);
     //! As request(), for a single reply.
     boost::asio::awaitable<Result<FrameBody>> call(FrameBody body, Milliseconds timeout);
-    //! Sends a message without a reply; it is dropped when the connection cannot be opened.
+    //! Sends a message without a reply; it is dropped when the connection cannot be opened or too many frames
+    //! wait for it.
     void notify(FrameBody body);
     //! Cancels a request at the peer; its handler is not called again.
     void cancel(std::uint64_t id);
     //! Closes the connection and fails its requests; the next message opens a new one.
-    void reopen();
+    void resetConnection();
     //! Closes the connection; pending requests fail.
     void close();
 
@@ -81,7 +82,7 @@
     std::vector<Frame> queuedFrames_;
     std::map<std::uint64_t, Pending> pending_;
     boost::asio::steady_timer timer_;
-    bool isChecking_ = false;
+    bool isCheckScheduled_ = false;
     TimePoint lastPing_ {};
 };
 
--- a/include/cardamompost/net/cp_peer_server.hpp
+++ b/include/cardamompost/net/cp_peer_server.hpp
@@ -57,7 +57,8 @@
 
     //! Errors: InvalidConfiguration when the address cannot be bound.
     Result<void> listen(const Address &address);
-    void close();
+    //! Stops accepting connections; open ones stay open.
+    void stopAccepting();
 
 private:
     boost::asio::awaitable<void> accept();
--- a/include/cardamompost/observe/cp_log_explainer.hpp
+++ b/include/cardamompost/observe/cp_log_explainer.hpp
@@ -19,7 +19,7 @@
     std::string text;
 };
 
-//! Explains from the logs how one request ended.
+//! What the logs tell about how one request ended.
 struct Explanation {
     //! Lines of all processes that name the request, ordered by time.
     std::vector<ExplainedLine> lines;
--- a/include/cardamompost/observe/cp_metrics.hpp
+++ b/include/cardamompost/observe/cp_metrics.hpp
@@ -64,7 +64,7 @@
 public:
     Counter &counter(const std::string &name, const MetricLabels &labels = {});
     Histogram &histogram(const std::string &name, const MetricLabels &labels = {});
-    //! Registers a callback that is read on each call of text(), with the registry locked.
+    //! Registers a callback for the current value; text() calls it with the registry locked.
     void gauge(const std::string &name, const MetricLabels &labels, std::function<double()> read);
 
     //! All values in the Prometheus text format.
--- a/src/cardamompost/net/cp_frame_connection.cpp
+++ b/src/cardamompost/net/cp_frame_connection.cpp
@@ -110,7 +110,6 @@
 
 asio::awaitable<void> FrameConnection::read(FrameHandler handler)
 {
-    // Reads many frames per system call.
     const auto self = shared_from_this();
     bool isReading = true;
     while (isReading && isOpen_) {
--- a/src/cardamompost/net/cp_frame_connection.hpp
+++ b/src/cardamompost/net/cp_frame_connection.hpp
@@ -34,7 +34,7 @@
 
     //! Performs the TLS handshake, if TLS is used. Errors: PeerLost.
     boost::asio::awaitable<Result<void>> open(bool isServer);
-    //! Reads frames until the connection is closed.
+    //! Passes received frames to the handler until the connection is closed; answers pings itself.
     boost::asio::awaitable<void> read(FrameHandler handler);
 
     //! Queues a frame; thread-safe. The connection is closed when its queue exceeds the limit.
@@ -58,7 +58,7 @@
 private:
     //! Appends the next bytes to the receive buffer. \returns false at the end of the stream
     boost::asio::awaitable<bool> readMore();
-    //! Passes complete frames to the handler. \returns false for malformed input
+    //! Passes complete frames to the handler, except pings, which it answers. \returns false for malformed input
     bool dispatchFrames(const FrameHandler &handler);
     boost::asio::awaitable<bool> writeBytes(std::string bytes);
     boost::asio::awaitable<void> writeQueued();
--- a/src/cardamompost/net/cp_http_server.cpp
+++ b/src/cardamompost/net/cp_http_server.cpp
@@ -49,10 +49,10 @@
 class BeastResponder : public IHttpResponder
 {
 public:
-    BeastResponder(beast::tcp_stream &stream, Milliseconds timeout, bool keepAlive)
+    BeastResponder(beast::tcp_stream &stream, Milliseconds timeout, bool isKeepAlive)
         : stream_(stream)
         , timeout_(timeout)
-        , keepAlive_(keepAlive)
+        , isKeepAlive_(isKeepAlive)
     {
     }
 
@@ -63,7 +63,7 @@
             message.set(name, value);
         }
         message.body() = std::move(response.body);
-        message.keep_alive(keepAlive_);
+        message.keep_alive(isKeepAlive_);
         message.prepare_payload();
         stream_.expires_after(timeout_);
         const auto [error, written] = co_await http::async_write(stream_, message, asTuple);
@@ -77,7 +77,7 @@
         for (const auto &[name, value] : headers) {
             message.set(name, value);
         }
-        message.keep_alive(keepAlive_);
+        message.keep_alive(isKeepAlive_);
         message.chunked(true);
         http::response_serializer<http::empty_body> serializer(message);
         stream_.expires_after(timeout_);
@@ -119,15 +119,15 @@
         isBroken_ = true;
     }
 
-    [[nodiscard]] bool isUsable() const
+    [[nodiscard]] bool canReuseConnection() const
     {
-        return hasResponded_ && !isBroken_ && keepAlive_;
+        return hasResponded_ && !isBroken_ && isKeepAlive_;
     }
 
 private:
     beast::tcp_stream &stream_;
     Milliseconds timeout_;
-    bool keepAlive_;
+    bool isKeepAlive_;
     bool isBroken_ = false;
     bool hasResponded_ = false;
 };
@@ -214,6 +214,7 @@
     beast::tcp_stream stream(std::move(socket));
     boost::system::error_code ignored;
     stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
+    // The remainder holds body data that arrives together with the headers.
     beast::flat_buffer buffer(limits_.headerBytes + (64U << 10U));
     bool isFirst = true;
     while (!isStopping_ || isFirst) {
@@ -238,7 +239,7 @@
         }
         HttpRequest request = toRequest(parser.release());
         co_await handler_(request, responder);
-        if (!responder.isUsable()) {
+        if (!responder.canReuseConnection()) {
             break;
         }
     }
--- a/src/cardamompost/net/cp_ledger_schema.cpp
+++ b/src/cardamompost/net/cp_ledger_schema.cpp
@@ -116,7 +116,7 @@
 
 TurnFinish decodeTurnFinish(schema::TurnFinish::Reader in)
 {
-    // An unknown ending, from a newer release, is charged as a broken turn.
+    // An unknown ending, from a newer release, is charged as an interrupted turn.
     const auto ending = in.getEnding() <= static_cast<std::uint8_t>(TurnEnding::Interrupted)
         ? static_cast<TurnEnding>(in.getEnding())
         : TurnEnding::Interrupted;
--- a/src/cardamompost/net/cp_peer_client.cpp
+++ b/src/cardamompost/net/cp_peer_client.cpp
@@ -25,8 +25,8 @@
 constexpr Milliseconds minSilenceOfDeadConnection {300};
 // Shorter than the retransmission timeout of a SYN, so that a recovered VM is reached by a new attempt.
 constexpr Milliseconds connectTimeout {200};
-// Limit on one-way messages that wait for a connection; further ones are dropped.
-constexpr std::size_t maxQueuedMessages = 64;
+// While this many frames wait for a connection, one-way messages are dropped.
+constexpr std::size_t maxQueuedFrames = 64;
 
 std::uint64_t nextRequestId()
 {
@@ -75,9 +75,9 @@
             self->connection_->send(frame);
             return;
         }
-        // Queued, not dropped: followers may have no connection yet, and losing the first message of an election
-        // would cost another election timeout.
-        if (self->queuedFrames_.size() < maxQueuedMessages) {
+        // Queued until the peer is connected: if the first message of an election were dropped, the election would
+        // need another election timeout.
+        if (self->queuedFrames_.size() < maxQueuedFrames) {
             self->queuedFrames_.push_back(std::move(frame));
         }
         self->ensureConnection();
@@ -93,7 +93,7 @@
     });
 }
 
-void PeerClient::reopen()
+void PeerClient::resetConnection()
 {
     asio::post(strand_, [self = shared_from_this()] {
         if (const auto old = std::exchange(self->connection_, nullptr)) {
@@ -230,13 +230,13 @@
 
 void PeerClient::scheduleCheck()
 {
-    if (isChecking_ || pending_.empty()) {
+    if (isCheckScheduled_ || pending_.empty()) {
         return;
     }
-    isChecking_ = true;
+    isCheckScheduled_ = true;
     timer_.expires_after(checkInterval);
     timer_.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
-        self->isChecking_ = false;
+        self->isCheckScheduled_ = false;
         if (!error) {
             self->check();
         }
@@ -269,7 +269,7 @@
     if (expireOverdue(now)) {
         // Nothing was received while a request waited for its whole timeout: retries must not wait until the pings
         // below detect the dead connection.
-        reopen();
+        resetConnection();
     }
     if (connection_ && !pending_.empty()) {
         const auto silence = now - connection_->lastReceived();
--- a/src/cardamompost/net/cp_peer_server.cpp
+++ b/src/cardamompost/net/cp_peer_server.cpp
@@ -58,7 +58,7 @@
     return boost::outcome_v2::success();
 }
 
-void PeerServer::close()
+void PeerServer::stopAccepting()
 {
     asio::post(acceptor_.get_executor(), [this] {
         boost::system::error_code ignored;
--- a/src/gateway/cp_peer_clients.hpp
+++ b/src/gateway/cp_peer_clients.hpp
@@ -33,7 +33,7 @@
     void reconnect(const VmName &peer)
     {
         if (const auto found = clients_.find(peer); found != clients_.end() && found->second) {
-            found->second->reopen();
+            found->second->resetConnection();
         }
     }
 
--- a/tests/net/cp_frame.tests.cpp
+++ b/tests/net/cp_frame.tests.cpp
@@ -57,7 +57,7 @@
     BOOST_TEST((failure.error.retryAfter == std::chrono::milliseconds(120)));
 }
 
-BOOST_AUTO_TEST_CASE(large_messages_round_trip_without_packing)
+BOOST_AUTO_TEST_CASE(large_messages_round_trip)
 {
     ApiChunk chunk;
     chunk.body = std::string(1U << 20U, 'x');
--- a/tests/observe/cp_log_explainer.tests.cpp
+++ b/tests/observe/cp_log_explainer.tests.cpp
@@ -6,8 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(log_explainer)
 
-// An entry that stalls reads the request only afterwards and logs that the caller left at once; the explanation must
-// name the stall.
+// A stalled entry reads the request only after the stall, and logs that its caller left after 0 ms; the explanation
+// must name the stall.
 BOOST_AUTO_TEST_CASE(a_caller_that_left_a_stalled_vm_is_explained_by_the_stall)
 {
     LogExplainer explainer;
