--- a/src/cli/cp_api_client.cpp
+++ b/src/cli/cp_api_client.cpp
@@ -45,7 +45,7 @@
     StreamedCall call;
     TimePoint startedAt;
     TimePoint lastEventAt;
-    std::uint64_t lastEvent = 0;
+    std::uint64_t lastEventId = 0;
 
     //! \returns false after the last event of the call
     bool handleEvent(const SseEvent &event)
@@ -54,7 +54,7 @@
         call.longestSilence
             = std::max(call.longestSilence, std::chrono::duration_cast<Milliseconds>(now - lastEventAt));
         lastEventAt = now;
-        lastEvent = std::max(lastEvent, event.id);
+        lastEventId = std::max(lastEventId, event.id);
         const json::object data = parseObject(event.data);
         if (event.name == "tokens") {
             if (call.firstToken.count() < 0) {
@@ -63,7 +63,7 @@
             call.text += data.at("text").as_string();
         } else if (event.name == "restart") {
             call.text.clear();
-            lastEvent = 0;
+            lastEventId = 0;
         } else if (event.name == "done") {
             call.final = data;
             call.outcome = data.at("outcome").as_string();
@@ -186,11 +186,11 @@
         call.headers["Authorization"] = "Bearer " + key_;
         call.timeout = streamStallTimeout;
         call.stallTimeout = streamStallTimeout;
-        const bool isResume = state.lastEvent != 0;
+        const bool isResume = state.lastEventId != 0;
         call.method = isResume ? "GET" : "POST";
         call.target = "/v1/programs/" + program + "/calls" + (isResume ? "/" + sequence : std::string());
         if (isResume) {
-            call.headers["Last-Event-ID"] = std::to_string(state.lastEvent);
+            call.headers["Last-Event-ID"] = std::to_string(state.lastEventId);
         } else {
             call.headers["Idempotency-Key"] = idempotencyKey;
             call.headers["Content-Type"] = "application/json";
--- a/src/cli/cp_api_client.hpp
+++ b/src/cli/cp_api_client.hpp
@@ -26,7 +26,9 @@
     //! Time to first token; -1 if none was received.
     Milliseconds firstToken {-1};
     Milliseconds total {0};
+    //! Longest wait for an event.
     Milliseconds longestSilence {0};
+    //! Number of attempts that failed or ended before the call did.
     int resumes = 0;
 };
 
@@ -41,9 +43,10 @@
     boost::asio::awaitable<Result<ApiAnswer>> request(std::string method, std::string target, std::string body,
                                                       HttpHeaders headers, Milliseconds timeout);
     //! Submits a streamed call and resumes its stream at another entry when the connection breaks.
-    boost::asio::awaitable<StreamedCall> streamCall(std::string program, boost::json::object call,
+    boost::asio::awaitable<StreamedCall> streamCall(std::string program, boost::json::object body,
                                                     std::string idempotencyKey, Milliseconds timeout);
-    //! Replaces the list of entries by that of the directory, unless it is empty. Errors as request().
+    //! Replaces the list of entries by the directory's list, unless that is empty. Errors as request().
+    //! \param program  its owner is listed first; may be empty
     boost::asio::awaitable<Result<void>> refreshEntries(std::string program);
 
 private:
--- a/src/cli/cp_command_load.cpp
+++ b/src/cli/cp_command_load.cpp
@@ -31,7 +31,7 @@
 constexpr Milliseconds callTimeout {300'000};
 constexpr Milliseconds progressInterval {1000};
 constexpr Milliseconds directoryInterval {2000};
-constexpr std::int64_t agentBudget = 4000;
+constexpr std::int64_t agentBudgetTokens = 4000;
 
 constexpr std::array<std::string_view, 16> vocabulary {"hold",  "hatch",   "grain", "clinker", "trim", "berth",
                                                        "draft", "ballast", "gate",  "stand",   "bank", "inbound",
@@ -104,7 +104,7 @@
         json::object body {{"deployment", deployment_}, {"class", shape_.workClass}};
         if (!parent.empty()) {
             body["parent"] = parent;
-            body["budget_tokens"] = agentBudget;
+            body["budget_tokens"] = agentBudgetTokens;
         }
         HttpHeaders headers;
         headers["Idempotency-Key"] = makeProgramId();
@@ -266,15 +266,15 @@
 {
     std::mt19937_64 random(options.seed);
     const auto startedAt = std::chrono::steady_clock::now();
-    double at = 0;
-    while (at < options.seconds && !wasInterrupted()) {
+    double elapsedSeconds = 0;
+    while (elapsedSeconds < options.seconds && !wasInterrupted()) {
         const LoadProfile &profile = options.profile;
-        const bool isBurst
-            = profile.burstEverySeconds > 0 && std::fmod(at, profile.burstEverySeconds) < profile.burstSeconds;
+        const bool isBurst = profile.burstEverySeconds > 0
+            && std::fmod(elapsedSeconds, profile.burstEverySeconds) < profile.burstSeconds;
         const double rate = options.programsPerSecond * (isBurst ? profile.burstFactor : 1.0);
-        at += std::exponential_distribution<>(rate)(random);
+        elapsedSeconds += std::exponential_distribution<>(rate)(random);
         asio::steady_timer timer(co_await asio::this_coro::executor,
-                                 startedAt + Milliseconds(static_cast<std::int64_t>(at * 1000)));
+                                 startedAt + Milliseconds(static_cast<std::int64_t>(elapsedSeconds * 1000)));
         co_await timer.async_wait(asio::use_awaitable);
         auto program = std::make_unique<LoadProgram>(client, report, options.deployment, options.service,
                                                      drawShape(profile, random), random());
--- a/src/cli/cp_command_program.cpp
+++ b/src/cli/cp_command_program.cpp
@@ -108,7 +108,7 @@
         json::object body {{"deployment", script_.deployment}, {"class", script_.workClass}};
         if (!parent.empty()) {
             body["parent"] = parent;
-            body["budget_tokens"] = agentBudget_;
+            body["budget_tokens"] = agentBudgetTokens_;
         } else if (script_.budgetTokens != 0) {
             body["budget_tokens"] = script_.budgetTokens;
         }
@@ -284,7 +284,7 @@
                   << (isHistoryComplete_ ? "complete and in order" : "NOT CHECKED OR BROKEN") << "\n";
     }
 
-    static constexpr std::int64_t agentBudget_ = 4000;
+    static constexpr std::int64_t agentBudgetTokens_ = 4000;
 
     const CommandContext &context_;
     ApiClient client_;
--- a/src/cli/cp_load_profile.hpp
+++ b/src/cli/cp_load_profile.hpp
@@ -47,7 +47,7 @@
     double burstFactor = 1.0;
 };
 
-//! "okpara", "gatewise", "short-answers" or "long-answers".
+//! \param name  "okpara", "gatewise", "short-answers" or "long-answers"
 [[nodiscard]] std::optional<LoadProfile> findProfile(const std::string &name);
 
 } // namespace cardamompost::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -49,12 +49,12 @@
 }
 
 const Command *findCommand(const std::vector<Command> &commands, const std::vector<std::string> &arguments,
-                           std::size_t &used)
+                           std::size_t &nameWordCount)
 {
     for (const Command &command : commands) {
         const bool isTwoWords = command.name.find(' ') != std::string::npos;
-        used = isTwoWords ? 2 : 1;
-        if (arguments.size() < used) {
+        nameWordCount = isTwoWords ? 2 : 1;
+        if (arguments.size() < nameWordCount) {
             continue;
         }
         const std::string typed = isTwoWords ? arguments[0] + " " + arguments[1] : arguments[0];
@@ -137,12 +137,12 @@
         printUsage(commands);
         return arguments.empty() ? exitUsage : exitOk;
     }
-    std::size_t used = 0;
-    const Command *command = findCommand(commands, arguments, used);
+    std::size_t nameWordCount = 0;
+    const Command *command = findCommand(commands, arguments, nameWordCount);
     if (command == nullptr) {
         std::cerr << "cardamompost: '" << arguments[0] << "' is not a command; see 'cardamompost --help'\n";
         return exitUsage;
     }
     installInterruptHandler();
-    return runCommand(*command, {arguments.begin() + static_cast<std::ptrdiff_t>(used), arguments.end()});
+    return runCommand(*command, {arguments.begin() + static_cast<std::ptrdiff_t>(nameWordCount), arguments.end()});
 }
