--- a/benchmarks/cp_policy_run.cpp
+++ b/benchmarks/cp_policy_run.cpp
@@ -215,7 +215,7 @@
 
 void PolicyRun::wakeEngine(std::size_t index)
 {
-    const TimePoint next = engines_[index]->nextEvent();
+    const TimePoint next = engines_[index]->nextTokenTime();
     if (next < wakeTimes_[index]) {
         wakeTimes_[index] = next;
         schedule(next, [this, index, next] {
--- a/src/standin/cp_engine_model.cpp
+++ b/src/standin/cp_engine_model.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t maxCancelledIds = 20'000;
 constexpr std::size_t maxEvents = 10'000;
 constexpr std::size_t maxLoadSamples = 1'000;
-constexpr std::int64_t messageTokens = 4;
+constexpr std::int64_t tokensPerMessage = 4;
 
 constexpr std::array<std::string_view, 24> vocabulary {
     "hold",  "two",   "trim",   "ballast", "berth",  "grain", "clinker", "draft", "survey", "gate", "bank", "stand",
@@ -71,7 +71,7 @@
 
 bool EngineModel::submit(EngineCall call, const json::array &messages, TimePoint now)
 {
-    if (cancelledBefore_.contains(call.id)) {
+    if (cancelledBeforeSubmit_.contains(call.id)) {
         return false;
     }
     if (calls_.contains(call.id)) {
@@ -84,17 +84,17 @@
     for (const json::value &message : messages) {
         const std::string content = messageContent(message);
         prefixHash = stableHash(content, stableHash(std::string(message.at("role").as_string()), prefixHash));
-        call.promptTokens += countTokens(content) + messageTokens;
+        call.promptTokens += countTokens(content) + tokensPerMessage;
         call.prefixes.emplace_back(prefixHash, call.promptTokens);
     }
     call.arrived = now;
     call.words = makeAnswer(prefixHash, call.maxTokens);
-    order_.push_back(call.id);
+    submissionOrder_.push_back(call.id);
     const auto inserted = calls_.emplace(call.id, std::move(call)).first;
     active_.emplace(inserted->first, &inserted->second);
-    while (order_.size() > maxCalls && calls_.at(order_.front()).isDone) {
-        calls_.erase(order_.front());
-        order_.pop_front();
+    while (submissionOrder_.size() > maxCalls && calls_.at(submissionOrder_.front()).isDone) {
+        calls_.erase(submissionOrder_.front());
+        submissionOrder_.pop_front();
     }
     run(now);
     return true;
@@ -111,9 +111,9 @@
     const auto found = calls_.find(id);
     if (found == calls_.end()) {
         // Rejects an attempt that arrives after its cancellation.
-        cancelledBefore_.insert(id);
-        if (cancelledBefore_.size() > maxCancelledIds) {
-            cancelledBefore_.erase(cancelledBefore_.begin());
+        cancelledBeforeSubmit_.insert(id);
+        if (cancelledBeforeSubmit_.size() > maxCancelledIds) {
+            cancelledBeforeSubmit_.erase(cancelledBeforeSubmit_.begin());
         }
         return;
     }
@@ -168,7 +168,7 @@
     }
     call.isRunning = true;
     const auto uncachedTokens = static_cast<double>(call.promptTokens - call.cachedTokens);
-    call.nextToken
+    call.nextTokenAt
         = now + toMilliseconds(uncachedTokens * settings_.prefillMsPerToken * faults.slowFactor) + decodeTime();
     ++totals_.calls;
     totals_.promptTokens += call.promptTokens;
@@ -191,7 +191,7 @@
     const std::uint64_t prefixHash
         = stableHash(answer, stableHash("assistant", call.prefixes.empty() ? 0 : call.prefixes.back().first));
     const auto length = static_cast<std::int64_t>(call.words.size());
-    cachePrefix(prefixHash, call.program, call.promptTokens + length + messageTokens, now);
+    cachePrefix(prefixHash, call.program, call.promptTokens + length + tokensPerMessage, now);
     totals_.completionTokens += length;
 }
 
@@ -213,21 +213,21 @@
         call.isRunning = false;
         call.isCancelled = true;
     }
-    while (call.isRunning && !faults.hangs && call.nextToken <= now) {
-        ++call.produced;
-        call.nextToken += decodeTime();
-        if (call.produced >= call.words.size()) {
+    while (call.isRunning && !faults.hangs && call.nextTokenAt <= now) {
+        ++call.producedTokens;
+        call.nextTokenAt += decodeTime();
+        if (call.producedTokens >= call.words.size()) {
             finishCall(call, now);
         }
     }
 }
 
-TimePoint EngineModel::nextEvent() const
+TimePoint EngineModel::nextTokenTime() const
 {
     TimePoint next = TimePoint::max();
     for (const auto &[id, call] : active_) {
         if (call->isRunning && !faults.hangs) {
-            next = std::min(next, call->nextToken);
+            next = std::min(next, call->nextTokenAt);
         }
     }
     return next;
@@ -301,7 +301,7 @@
 
 void EngineModel::recordEvent(std::string kind, const std::string &program, std::int64_t tokens, TimePoint now)
 {
-    const std::uint64_t number = nextEvent_++;
+    const std::uint64_t number = nextEventNumber_++;
     if (std::uniform_real_distribution<>(0.0, 1.0)(random_) < settings_.eventLoss) {
         return;
     }
@@ -322,12 +322,12 @@
     return published;
 }
 
-bool EngineModel::order(const std::string &text, std::uint64_t fencing)
+bool EngineModel::recordOrder(const std::string &text, std::uint64_t fencingToken)
 {
-    if (settings_.checksFencing && fencing < highestFencingToken_) {
+    if (settings_.checksFencing && fencingToken < highestFencingToken_) {
         return false;
     }
-    highestFencingToken_ = std::max(highestFencingToken_, fencing);
+    highestFencingToken_ = std::max(highestFencingToken_, fencingToken);
     orders_.push_back(text);
     return true;
 }
--- a/src/standin/cp_engine_model.hpp
+++ b/src/standin/cp_engine_model.hpp
@@ -56,11 +56,11 @@
     //! Hash and length in tokens of each prefix of the prompt, one per message.
     std::vector<std::pair<std::uint64_t, std::int64_t>> prefixes;
     std::vector<std::string> words;
-    std::size_t produced = 0;
+    std::size_t producedTokens = 0;
     bool isRunning = false;
     bool isDone = false;
     bool isCancelled = false;
-    TimePoint nextToken {};
+    TimePoint nextTokenAt {};
 };
 
 //! A change of an engine's prefix cache.
@@ -87,9 +87,11 @@
     //! Advances all calls to the given time.
     void run(TimePoint now);
     //! Time of the next token; TimePoint::max() if none is due.
-    [[nodiscard]] TimePoint nextEvent() const;
+    [[nodiscard]] TimePoint nextTokenTime() const;
 
+    //! Removes a program from the prefix cache.
     void release(const std::string &program);
+    //! Number of cached tokens of each program in the prefix cache.
     [[nodiscard]] std::map<std::string, std::int64_t> heldPrograms() const;
     [[nodiscard]] boost::json::array exportCache(const std::string &program) const;
     void importCache(const std::string &program, const boost::json::array &prefixes, TimePoint now);
@@ -97,7 +99,7 @@
     [[nodiscard]] std::vector<CacheEvent> eventsAfter(std::uint64_t number, TimePoint now) const;
 
     //! Records an order. \returns false if fencing is checked and the token is lower than one already seen
-    bool order(const std::string &text, std::uint64_t fencing);
+    bool recordOrder(const std::string &text, std::uint64_t fencingToken);
 
     struct Load {
         int running = 0;
@@ -153,14 +155,14 @@
     std::map<std::string, EngineCall> calls_;
     //! Waiting and running calls; pointers into calls_.
     std::map<std::string, EngineCall *> active_;
-    std::deque<std::string> order_;
-    std::set<std::string> cancelledBefore_;
+    std::deque<std::string> submissionOrder_;
+    std::set<std::string> cancelledBeforeSubmit_;
     std::map<std::uint64_t, CachedPrefix> cache_;
     std::map<std::string, CachedProgram> cachedPrograms_;
     std::set<std::uint64_t> everCached_;
     std::int64_t cacheUsed_ = 0;
     std::vector<CacheEvent> events_;
-    std::uint64_t nextEvent_ = 1;
+    std::uint64_t nextEventNumber_ = 1;
     std::uint64_t highestFencingToken_ = 0;
     std::vector<std::string> orders_;
     std::deque<Load> loads_;
--- a/src/standin/cp_standin_server.cpp
+++ b/src/standin/cp_standin_server.cpp
@@ -71,8 +71,8 @@
 json::object usageOf(const EngineCall &call)
 {
     return {{"prompt_tokens", call.promptTokens},
-            {"completion_tokens", call.produced},
-            {"total_tokens", call.promptTokens + static_cast<std::int64_t>(call.produced)},
+            {"completion_tokens", call.producedTokens},
+            {"total_tokens", call.promptTokens + static_cast<std::int64_t>(call.producedTokens)},
             {"prompt_tokens_details", json::object {{"cached_tokens", call.cachedTokens}}}};
 }
 
@@ -165,10 +165,10 @@
     }
 }
 
-asio::awaitable<void> EngineServer::sendStream(std::string id, std::size_t after, IHttpResponder &responder)
+asio::awaitable<void> EngineServer::sendStream(std::string id, std::size_t lastEventId, IHttpResponder &responder)
 {
-    std::size_t sent = after;
-    bool hasBegun = false;
+    std::size_t sent = lastEventId;
+    bool isStreaming = false;
     TimePoint lastWrite = timeNow();
     while (true) {
         std::string bytes;
@@ -183,7 +183,7 @@
             isKnown = call != nullptr;
             if (call != nullptr) {
                 EngineFaults &faults = model_.faults;
-                for (; sent < call->produced; ++sent) {
+                for (; sent < call->producedTokens; ++sent) {
                     bytes += tokenEvent(*call, sent);
                 }
                 isCut = faults.cutsLeft > 0 && !call->isDone && sent >= static_cast<std::size_t>(faults.cutAfterTokens);
@@ -191,16 +191,16 @@
                 isOver = call->isDone;
                 bytes += isOver && !call->isCancelled ? endEvents(*call) : std::string();
             }
-            next = model_.nextEvent();
+            next = model_.nextTokenTime();
         }
         if (!isKnown) {
             co_await responder.respond(errorResponse(404, "unknown attempt"));
             co_return;
         }
-        if (!hasBegun) {
+        if (!isStreaming) {
             HttpHeaders headers;
             headers["Content-Type"] = "text/event-stream";
-            hasBegun = co_await responder.begin(200, std::move(headers));
+            isStreaming = co_await responder.begin(200, std::move(headers));
         }
         if (bytes.empty() && timeNow() - lastWrite > keepAliveInterval) {
             bytes = ": working\n\n";
@@ -208,9 +208,9 @@
         if (!bytes.empty()) {
             lastWrite = timeNow();
             const bool isConnected = co_await responder.write(std::move(bytes));
-            hasBegun = hasBegun && isConnected;
+            isStreaming = isStreaming && isConnected;
         }
-        if (isCut || !hasBegun) {
+        if (isCut || !isStreaming) {
             responder.abort();
             co_return;
         }
@@ -350,7 +350,7 @@
     }
     if (request.path == "/v1/orders" && request.method == "POST") {
         const bool isAccepted
-            = model_.order(json::serialize(body), static_cast<std::uint64_t>(numberAt(body, "fencing", 0)));
+            = model_.recordOrder(json::serialize(body), static_cast<std::uint64_t>(numberAt(body, "fencing", 0)));
         return isAccepted ? jsonResponse(200, {{"accepted", true}}) : errorResponse(409, "the fencing token is stale");
     }
     if (request.path == "/standin/faults" && request.method == "POST") {
--- a/src/standin/cp_standin_server.hpp
+++ b/src/standin/cp_standin_server.hpp
@@ -26,7 +26,7 @@
 private:
     boost::asio::awaitable<void> handle(HttpRequest &request, IHttpResponder &responder);
     boost::asio::awaitable<void> handleCompletion(const HttpRequest &request, IHttpResponder &responder);
-    boost::asio::awaitable<void> sendStream(std::string id, std::size_t after, IHttpResponder &responder);
+    boost::asio::awaitable<void> sendStream(std::string id, std::size_t lastEventId, IHttpResponder &responder);
     boost::asio::awaitable<void> sendWholeResponse(std::string id, IHttpResponder &responder);
     [[nodiscard]] HttpResponse answer(const HttpRequest &request);
     [[nodiscard]] HttpResponse handleCacheRequest(const HttpRequest &request, const boost::json::object &body);
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -16,7 +16,7 @@
 using cardamompost::standin::ServiceServer;
 
 constexpr int exitUsage = 2;
-constexpr int exitStart = 4;
+constexpr int exitStartFailed = 4;
 
 po::options_description makeOptions(EngineSettings &settings)
 {
@@ -82,7 +82,7 @@
         && listenAll<ServiceServer>(values, "service-ports", services,
                                     [&](std::uint16_t) { return std::make_unique<ServiceServer>(io.get_executor()); });
     if (!isListening) {
-        return exitStart;
+        return exitStartFailed;
     }
     boost::asio::signal_set signals(io, SIGINT, SIGTERM);
     signals.async_wait([&](const boost::system::error_code &, int) { io.stop(); });
